--- a/test/platform/decoder-test.cc
+++ b/test/platform/decoder-test.cc
@@ -174,8 +174,8 @@
     BOOST_TEST(prompt.at(1).tokens == 410);
     BOOST_TEST(readLoad("3,1,8")->waiting == 1);
     BOOST_TEST(!readLoad("3"));
-    BOOST_TEST(readMostTokens("1460,80") == 80);
-    BOOST_TEST(readMostTokens("1460") == 0);
+    BOOST_TEST(readMaxOutputTokens("1460,80") == 80);
+    BOOST_TEST(readMaxOutputTokens("1460") == 0);
     BOOST_TEST(!readLoad("a,b,c"));
 }
 
