--- a/test/gateway/answers-test.cc
+++ b/test/gateway/answers-test.cc
@@ -10,11 +10,11 @@
 
 struct OneUpstream
 {
-    explicit OneUpstream(UpstreamSide::Script script)
+    explicit OneUpstream(ScriptedConnection::Script script)
         : upstream(loop, "one", std::move(script))
         , gateway(loop)
     {
-        gateway.tell(testConfiguration(), {upstream.entry("pool")});
+        gateway.applyRegistry(testConfiguration(), {upstream.entry("pool")});
     }
 
     asio::io_context loop{1};
@@ -34,16 +34,16 @@
 
 BOOST_AUTO_TEST_SUITE(gateway_answers)
 
-// The common path: a caller's request reaches an upstream with the router's headers set, and the
-// answer comes back as the upstream gave it.
+// A caller's request reaches an upstream with the router's headers set, and the upstream's answer
+// reaches the caller unchanged.
 BOOST_AUTO_TEST_CASE(an_answer_is_relayed_unchanged)
 {
-    OneUpstream world([](UpstreamSide &side, const std::string &request) {
-        side.send(plainAnswer(request, "world"));
+    OneUpstream world([](ScriptedConnection &connection, const std::string &request) {
+        connection.send(plainAnswer(request, "world"));
     });
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/once/a?b=c", "r1", "Reserve: mine\r\nX-Other: kept\r\n"));
-    BOOST_TEST(caller.gets("world"));
+    BOOST_TEST(caller.receives("world"));
     BOOST_TEST(headerOf(caller.received, "Ran-By") == "proof");
     const auto sent = world.upstream.requests().at(0);
     BOOST_TEST(sent.starts_with("POST /once/a?b=c HTTP/1.1"));
@@ -53,13 +53,13 @@
     BOOST_TEST(sent.ends_with("hello"));
 }
 
-// A caller sends headers that are the router's to set, or names a header that decides how the
-// request runs in `Connection` to have it dropped. An upstream that believed it would reserve
-// memory for the caller, or run another request than was asked for.
-BOOST_AUTO_TEST_CASE(a_caller_can_neither_set_nor_drop_what_is_the_routers)
+// A caller sends headers that only the router may set, or lists a header that decides how the
+// request runs in `Connection` so that it is dropped. An upstream that trusted such headers would
+// reserve memory for the caller or run a different request.
+BOOST_AUTO_TEST_CASE(a_caller_can_neither_set_nor_drop_router_headers)
 {
-    OneUpstream world([](UpstreamSide &side, const std::string &request) {
-        side.send(plainAnswer(request, "done"));
+    OneUpstream world([](ScriptedConnection &connection, const std::string &request) {
+        connection.send(plainAnswer(request, "done"));
     });
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/once/a", "r1",
@@ -67,7 +67,7 @@
                                      "For-Customer: somebody\r\nOnly-At: other\r\n"
                                      "Connection: Prompt-Parts, X-Mine\r\n"
                                      "Prompt-Parts: p\r\nX-Mine: hop\r\n"));
-    BOOST_TEST(caller.gets("done"));
+    BOOST_TEST(caller.receives("done"));
     const auto sent = world.upstream.requests().at(0);
     BOOST_TEST(headerOf(sent, "Reserve").empty());
     BOOST_TEST(headerOf(sent, "Fetch-Context").empty());
@@ -79,126 +79,128 @@
 }
 
 // An upstream sends a second answer to an earlier request where the next answer is expected.
-// Without the check of the echoed id the next caller would get somebody else's answer.
+// Without the check of the echoed id, the next caller would get the answer to another request.
 BOOST_AUTO_TEST_CASE(a_late_answer_to_an_earlier_request_reaches_nobody)
 {
-    OneUpstream world([](UpstreamSide &side, const std::string &request) {
-        if (side.requests.size() == 1)
-            return side.send(plainAnswer(request, "first"));
-        side.send(plainAnswer(side.requests.front(), "stale") + plainAnswer(request, "second"));
+    OneUpstream world([](ScriptedConnection &connection, const std::string &request) {
+        if (connection.requests.size() == 1)
+            return connection.send(plainAnswer(request, "first"));
+        connection.send(plainAnswer(connection.requests.front(), "stale")
+                        + plainAnswer(request, "second"));
     });
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/once/a", "r1"));
-    BOOST_TEST(caller.gets("first"));
+    BOOST_TEST(caller.receives("first"));
     caller.send(testing::requestText("/once/a", "r2"));
-    BOOST_TEST(caller.gets("second"));
-    BOOST_TEST(world.upstream.sides.size() == 1);
+    BOOST_TEST(caller.receives("second"));
+    BOOST_TEST(world.upstream.connections.size() == 1);
     BOOST_TEST(caller.received.find("stale") == std::string::npos);
 }
 
-// An upstream sends further bytes after a whole answer. They belong to no request; the connection
-// they came on is not used again.
+// An upstream sends more bytes after a complete answer. They belong to no request, so the
+// connection is not reused.
 BOOST_AUTO_TEST_CASE(bytes_after_an_answer_end_the_connection)
 {
-    OneUpstream world([](UpstreamSide &side, const std::string &request) {
-        side.send(plainAnswer(request, "whole") + "HTTP/1.1 200 OK\r\n");
+    OneUpstream world([](ScriptedConnection &connection, const std::string &request) {
+        connection.send(plainAnswer(request, "whole") + "HTTP/1.1 200 OK\r\n");
     });
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/once/a", "r1"));
-    BOOST_TEST(caller.gets("whole"));
+    BOOST_TEST(caller.receives("whole"));
     caller.send(testing::requestText("/once/a", "r2"));
     BOOST_TEST(runUntil(world.loop, [&] { return countOf(caller.received, "whole") == 2; }));
-    BOOST_TEST(world.upstream.sides.size() == 2);
+    BOOST_TEST(world.upstream.connections.size() == 2);
 }
 
 // An upstream answers 200 without its proof, or 503 without saying that it did not run the request.
-// The caller of a request that runs at most once must not take either for the truth.
+// The caller of a request that runs at most once must not rely on either answer.
 BOOST_AUTO_TEST_CASE(an_answer_that_cannot_be_trusted_is_a_failure_that_promises_nothing)
 {
     for (const std::string head : {"200 OK", "503 Service Unavailable"}) {
-        OneUpstream world([head](UpstreamSide &side, const std::string &request) {
-            side.send("HTTP/1.1 " + head + "\r\nRequest-Id: " + headerOf(request, "Request-Id")
-                      + "\r\nContent-Length: 3\r\n\r\nbad");
+        OneUpstream world([head](ScriptedConnection &connection, const std::string &request) {
+            connection.send("HTTP/1.1 " + head + "\r\nRequest-Id: "
+                            + headerOf(request, "Request-Id") + "\r\nContent-Length: 3\r\n\r\nbad");
         });
         auto caller = world.gateway.caller();
         caller.send(testing::requestText("/once/a", "r1"));
-        BOOST_TEST(caller.gets("HTTP/1.1 502"));
+        BOOST_TEST(caller.receives("HTTP/1.1 502"));
         BOOST_TEST(caller.received.find("Retry-After") == std::string::npos);
     }
 }
 
-// An answer that tells no length ends with its connection. Closed in order it is whole.
+// An answer without a length ends with its connection. It is complete when the connection is closed
+// without a reset.
 BOOST_AUTO_TEST_CASE(an_answer_may_end_with_its_connection)
 {
-    OneUpstream world([](UpstreamSide &side, const std::string &request) {
-        side.send("HTTP/1.1 200 OK\r\nRequest-Id: " + headerOf(request, "Request-Id")
-                  + "\r\nRan-By: proof\r\n\r\nall of it");
-        side.close();
+    OneUpstream world([](ScriptedConnection &connection, const std::string &request) {
+        connection.send("HTTP/1.1 200 OK\r\nRequest-Id: " + headerOf(request, "Request-Id")
+                        + "\r\nRan-By: proof\r\n\r\nall of it");
+        connection.close();
     });
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/once/a", "r1"));
-    BOOST_TEST(caller.gets("all of it"));
+    BOOST_TEST(caller.receives("all of it"));
     BOOST_TEST(headerOf(caller.received, "Content-Length") == "9");
 }
 
-// An upstream breaks off in the middle of a plain answer: by a reset where it told no length, or
-// before the length that it told. Passed on, the caller would act on half an answer.
+// An upstream breaks off in the middle of a plain answer: by a reset of an answer without a length,
+// or before the announced length. If it were relayed, the caller would act on half an answer.
 BOOST_AUTO_TEST_CASE(half_an_answer_is_a_failure)
 {
     for (const std::string length : {"", "Content-Length: 100\r\n"}) {
-        OneUpstream world([length](UpstreamSide &side, const std::string &request) {
+        OneUpstream world([length](ScriptedConnection &connection, const std::string &request) {
             const auto text = "HTTP/1.1 200 OK\r\nRequest-Id: " + headerOf(request, "Request-Id")
                 + "\r\nRan-By: proof\r\n" + length + "\r\nhalf";
-            side.sendThenReset(text);
+            connection.sendThenReset(text);
         });
         auto caller = world.gateway.caller();
         caller.send(testing::requestText("/once/a", "r1"));
-        BOOST_TEST(caller.gets("HTTP/1.1 502"));
+        BOOST_TEST(caller.receives("HTTP/1.1 502"));
         BOOST_TEST(caller.received.find("half") == std::string::npos);
     }
 }
 
-// A stream that may run only once breaks off. The caller must see that it is not whole: no last
-// chunk, and the connection ends.
+// A stream that may run only once breaks off. The caller must see that it is incomplete: the last
+// chunk is missing and the connection closes.
 BOOST_AUTO_TEST_CASE(a_broken_stream_never_looks_whole)
 {
-    OneUpstream world([](UpstreamSide &side, const std::string &request) {
-        side.send(streamHead(request) + eventChunk(1) + eventChunk(2));
-        side.close();
+    OneUpstream world([](ScriptedConnection &connection, const std::string &request) {
+        connection.send(streamHead(request) + eventChunk(1) + eventChunk(2));
+        connection.close();
     });
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/stream/a", "r1"));
-    BOOST_TEST(caller.gets("piece-2"));
-    BOOST_TEST(caller.seesEnd());
+    BOOST_TEST(caller.receives("piece-2"));
+    BOOST_TEST(caller.seesClose());
     BOOST_TEST(!caller.received.ends_with(lastChunk));
     BOOST_TEST(world.upstream.requests().size() == 1);
 }
 
-// The deadline passes while the upstream is silent. The caller gets its final answer then, and the
-// upstream is told to stop by the close of its connection.
-BOOST_AUTO_TEST_CASE(a_deadline_ends_the_wait_and_the_work)
+// The deadline passes while the upstream is silent. The caller then gets its final answer, and the
+// closed connection tells the upstream to stop.
+BOOST_AUTO_TEST_CASE(a_deadline_ends_the_wait_and_the_upstream_request)
 {
-    OneUpstream world([](UpstreamSide &, const std::string &) {});
+    OneUpstream world([](ScriptedConnection &, const std::string &) {});
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/once/a", "r1", "Time-Left-Ms: 300\r\n"));
-    BOOST_TEST(caller.gets("HTTP/1.1 504"));
-    BOOST_TEST(runUntil(world.loop, [&] { return world.upstream.sides.at(0)->ended; }));
+    BOOST_TEST(caller.receives("HTTP/1.1 504"));
+    BOOST_TEST(runUntil(world.loop, [&] { return world.upstream.connections.at(0)->ended; }));
     BOOST_TEST(std::stoi(headerOf(world.upstream.requests().at(0), "Time-Left-Ms")) <= 300);
 }
 
-// A caller gives up in the middle of a stream. Without the cancel the engine would go on making
-// tokens that nobody reads.
-BOOST_AUTO_TEST_CASE(a_caller_that_leaves_ends_the_work)
+// A caller disconnects in the middle of a stream. Without the cancellation the engine would
+// continue to generate tokens that nobody reads.
+BOOST_AUTO_TEST_CASE(a_caller_that_disconnects_ends_the_upstream_request)
 {
-    OneUpstream world([](UpstreamSide &side, const std::string &request) {
-        side.send(streamHead(request) + eventChunk(1));
+    OneUpstream world([](ScriptedConnection &connection, const std::string &request) {
+        connection.send(streamHead(request) + eventChunk(1));
     });
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/stream/a", "r1"));
-    BOOST_TEST(caller.gets("piece-1"));
-    caller.leave();
+    BOOST_TEST(caller.receives("piece-1"));
+    caller.disconnect();
     BOOST_TEST(runUntil(
-        world.loop, [&] { return world.upstream.sides.at(0)->ended; }, 500ms));
+        world.loop, [&] { return world.upstream.connections.at(0)->ended; }, 500ms));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/gateway/gateway-fixture.h
+++ b/test/gateway/gateway-fixture.h
@@ -22,13 +22,13 @@
 using asio::ip::tcp;
 using namespace std::chrono_literals;
 
-/// How long a test waits for something that must happen; far beyond what it takes.
-constexpr auto patience = 20s;
+/// Limit on waiting for something that must happen; far longer than it takes.
+constexpr auto testTimeout = 20s;
 
-/// Runs the loop until `condition` holds.
+/// Runs the loop until `condition` holds or `limit` has passed; returns whether it holds.
 template <typename Condition>
 auto runUntil(asio::io_context &loop, Condition condition,
-              std::chrono::milliseconds limit = patience) -> bool
+              std::chrono::milliseconds limit = testTimeout) -> bool
 {
     const auto end = std::chrono::steady_clock::now() + limit;
     while (!condition() && std::chrono::steady_clock::now() < end) {
@@ -38,7 +38,7 @@
     return condition();
 }
 
-/// Whether `text` holds a whole message: its head and as many bytes as its length says.
+/// Whether `text` contains a complete message: its head and as many bytes as its Content-Length.
 inline auto isWholeRequest(const std::string &text) -> bool
 {
     const auto head = text.find("\r\n\r\n");
@@ -53,13 +53,13 @@
     return text.size() >= head + 4 + length;
 }
 
-/// One connection that a scripted upstream took.
-class UpstreamSide : public std::enable_shared_from_this<UpstreamSide>
+/// One connection that a scripted upstream accepted.
+class ScriptedConnection : public std::enable_shared_from_this<ScriptedConnection>
 {
 public:
-    using Script = std::function<void(UpstreamSide &, const std::string &request)>;
+    using Script = std::function<void(ScriptedConnection &, const std::string &request)>;
 
-    UpstreamSide(tcp::socket socket, Script script)
+    ScriptedConnection(tcp::socket socket, Script script)
         : socket_(std::move(socket))
         , script_(std::move(script))
     { }
@@ -68,12 +68,12 @@
 
     auto send(std::string text) -> void
     {
-        auto held = std::make_shared<std::string>(std::move(text));
-        asio::async_write(socket_, asio::buffer(*held),
-                          [self = shared_from_this(), held](auto, auto) {});
+        auto buffer = std::make_shared<std::string>(std::move(text));
+        asio::async_write(socket_, asio::buffer(*buffer),
+                          [self = shared_from_this(), buffer](auto, auto) {});
     }
 
-    /// The peer has time to read the text before the reset overtakes it.
+    /// Sends `text` and resets the connection 50 ms later, so that the peer reads the text first.
     auto sendThenReset(std::string text) -> void
     {
         send(std::move(text));
@@ -96,7 +96,7 @@
     }
 
     std::vector<std::string> requests;
-    bool ended = false; ///< The gateway closed it, or the script did.
+    bool ended = false; ///< The gateway closed the connection, or the script reset it.
 
 private:
     auto read() -> void
@@ -123,11 +123,12 @@
     std::string text_;
 };
 
-/// An upstream whose answers a test writes byte by byte.
+/// An upstream whose script writes the exact bytes of each answer.
 class ScriptedUpstream
 {
 public:
-    ScriptedUpstream(asio::io_context &loop, std::string instance, UpstreamSide::Script script)
+    ScriptedUpstream(asio::io_context &loop, std::string instance,
+                     ScriptedConnection::Script script)
         : name(std::move(instance))
         , acceptor_(loop, {asio::ip::make_address("127.0.0.1"), 0})
         , script_(std::move(script))
@@ -150,16 +151,16 @@
     [[nodiscard]] auto requests() const -> std::vector<std::string>
     {
         std::vector<std::string> all;
-        for (const auto &side : sides)
-            all.insert(all.end(), side->requests.begin(), side->requests.end());
+        for (const auto &connection : connections)
+            all.insert(all.end(), connection->requests.begin(), connection->requests.end());
         return all;
     }
 
-    /// Takes no further connections.
+    /// Accepts no further connections.
     auto closeListener() -> void { acceptor_.close(); }
 
     std::string name;
-    std::vector<std::shared_ptr<UpstreamSide>> sides;
+    std::vector<std::shared_ptr<ScriptedConnection>> connections;
 
 private:
     auto accept() -> void
@@ -167,17 +168,17 @@
         acceptor_.async_accept([this](auto error, tcp::socket socket) {
             if (error)
                 return;
-            sides.push_back(std::make_shared<UpstreamSide>(std::move(socket), script_));
-            sides.back()->start();
+            connections.push_back(std::make_shared<ScriptedConnection>(std::move(socket), script_));
+            connections.back()->start();
             accept();
         });
     }
 
     tcp::acceptor acceptor_;
-    UpstreamSide::Script script_;
+    ScriptedConnection::Script script_;
 };
 
-/// A caller's connection; keeps all that it was sent.
+/// A caller's connection; keeps everything that it received.
 class Caller
 {
 public:
@@ -191,19 +192,19 @@
 
     auto send(const std::string &text) -> void { asio::write(socket_, asio::buffer(text)); }
 
-    auto leave() -> void
+    auto disconnect() -> void
     {
         boost::system::error_code error;
         socket_.close(error);
     }
 
-    /// Waits for `text` among what came.
-    auto gets(const std::string &text) -> bool
+    /// Waits until `text` has been received.
+    auto receives(const std::string &text) -> bool
     {
         return runUntil(loop_, [&] { return received.find(text) != std::string::npos; });
     }
 
-    auto seesEnd() -> bool
+    auto seesClose() -> bool
     {
         return runUntil(loop_, [&] { return ended; });
     }
@@ -231,33 +232,33 @@
     std::array<char, 65536> buffer_{};
 };
 
-/// Names of this test's own; the gateway knows none by itself.
+/// Header names used only by these tests; the gateway has none of its own.
 inline auto testVocabulary() -> Vocabulary
 {
-    Vocabulary words;
-    words.requestId = "Request-Id";
-    words.deadline = "Time-Left-Ms";
-    words.proof = "Ran-By";
-    words.notRun = "Not-Run";
-    words.expectInstance = "Only-At";
-    words.customer = "For-Customer";
-    words.priority = "Urgency";
-    words.loadReport = "Load";
-    words.prompt = "Prompt-Parts";
-    words.fetchFrom = "Fetch-Context";
-    words.lastEventId = "Last-Event-ID";
-    words.keyScheme = "Bearer";
-    words.routerOnly = {"Reserve", "Fetch-Context"};
-    words.kept = {"Request-Id", "Prompt-Parts"};
-    words.readPrompt = [](std::string_view text) {
+    Vocabulary vocabulary;
+    vocabulary.requestId = "Request-Id";
+    vocabulary.deadline = "Time-Left-Ms";
+    vocabulary.proof = "Ran-By";
+    vocabulary.notRun = "Not-Run";
+    vocabulary.expectInstance = "Only-At";
+    vocabulary.customer = "For-Customer";
+    vocabulary.priority = "Urgency";
+    vocabulary.loadReport = "Load";
+    vocabulary.prompt = "Prompt-Parts";
+    vocabulary.fetchFrom = "Fetch-Context";
+    vocabulary.lastEventId = "Last-Event-ID";
+    vocabulary.keyScheme = "Bearer";
+    vocabulary.routerOnly = {"Reserve", "Fetch-Context"};
+    vocabulary.kept = {"Request-Id", "Prompt-Parts"};
+    vocabulary.readPrompt = [](std::string_view text) {
         return direct::Prompt{{core::stableHash(text), 100}, {1, 10}};
     };
-    words.tokens = "Token-Counts";
-    words.readLoad = [](std::string_view) { return std::nullopt; };
-    words.readMostTokens = [](std::string_view text) {
+    vocabulary.tokens = "Token-Counts";
+    vocabulary.readLoad = [](std::string_view) { return std::nullopt; };
+    vocabulary.readMostTokens = [](std::string_view text) {
         return static_cast<std::uint32_t>(std::stoul(std::string(text)));
     };
-    return words;
+    return vocabulary;
 }
 
 /// Routes of one host: `/safe/`, `/once/`, `/stream/` (not resumable) and `/resume/`.
@@ -288,14 +289,14 @@
     return configuration;
 }
 
-/// A free port, as of now.
+/// Returns a port that is free at the time of the call.
 inline auto freePort(asio::io_context &loop) -> std::uint16_t
 {
     tcp::acceptor probe(loop, {asio::ip::make_address("127.0.0.1"), 0});
     return probe.local_endpoint().port();
 }
 
-/// A gateway with what its registry would tell it.
+/// A gateway and the registry contents that it decodes.
 class Gateway
 {
 public:
@@ -309,9 +310,9 @@
             throw boost::system::system_error(error);
     }
 
-    /// Puts configuration and upstreams in force.
-    auto tell(std::shared_ptr<direct::Configuration> configuration, direct::UpstreamList upstreams)
-        -> void
+    /// Applies configuration and upstreams as if the registry had been read.
+    auto applyRegistry(std::shared_ptr<direct::Configuration> configuration,
+                       direct::UpstreamList upstreams) -> void
     {
         registry.configuration = std::move(configuration);
         registry.upstreams = std::move(upstreams);
@@ -336,7 +337,7 @@
         made.metrics = {"127.0.0.1", freePort(loop)};
         made.peers = {"127.0.0.1", freePort(loop)};
         made.seeds = std::move(seeds);
-        made.retries.extra = 1000; // A process that just started has a small share of it.
+        made.retries.extra = 1000; // A newly started process has a small share of it.
         return made;
     }
 
@@ -348,26 +349,26 @@
     GatewayHost host;
 };
 
-/// What an operator scrapes.
+/// Returns the metrics as an operator scrapes them.
 inline auto scrape(asio::io_context &loop, const Gateway &gateway) -> std::string
 {
     Caller scraper(loop, gateway.settings.metrics);
     scraper.send("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n");
-    scraper.gets("applehatch_peers");
+    scraper.receives("applehatch_peers");
     return scraper.received;
 }
 
-/// A request of a caller with the right key.
+/// A request of a caller with a valid key.
 inline auto requestText(const std::string &path, const std::string &id,
-                        const std::string &more = {}, const std::string &body = "hello")
+                        const std::string &extraHeaders = {}, const std::string &body = "hello")
     -> std::string
 {
     return "POST " + path + " HTTP/1.1\r\nHost: api.example\r\nRequest-Id: " + id
-        + "\r\nAuthorization: Bearer key-1\r\n" + more
+        + "\r\nAuthorization: Bearer key-1\r\n" + extraHeaders
         + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// The value of a header in a request or response; empty without one.
+/// Returns the value of a header in a request or response; empty when it is absent.
 inline auto headerOf(const std::string &text, const std::string &name) -> std::string
 {
     const auto at = text.find("\r\n" + name + ": ");
@@ -377,14 +378,14 @@
     return text.substr(from, text.find("\r\n", from) - from);
 }
 
-/// A whole plain answer that a sound upstream gives to `request`.
+/// The complete plain answer of a correct upstream to `request`.
 inline auto plainAnswer(const std::string &request, const std::string &body) -> std::string
 {
     return "HTTP/1.1 200 OK\r\nRequest-Id: " + headerOf(request, "Request-Id")
         + "\r\nRan-By: proof\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// The head of a stream that a sound upstream gives to `request`.
+/// The head of the streamed answer of a correct upstream to `request`.
 inline auto streamHead(const std::string &request) -> std::string
 {
     return "HTTP/1.1 200 OK\r\nRequest-Id: " + headerOf(request, "Request-Id")
@@ -392,7 +393,7 @@
           "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-/// One event of a stream, framed.
+/// One event of a stream, framed as a chunk.
 inline auto eventChunk(int id) -> std::string
 {
     return chunkText("id: " + std::to_string(id) + "\ndata: piece-" + std::to_string(id) + "\n\n");
--- a/test/gateway/peer-fleet.h
+++ b/test/gateway/peer-fleet.h
@@ -1,4 +1,4 @@
-/// Routers that send each other digests, in virtual time: lost, late and by many ways.
+/// Simulates, in virtual time, routers that send each other digests; digests are lost and delayed.
 #pragma once
 
 #include "applehatch/gateway/peer-table.h"
@@ -14,22 +14,22 @@
 namespace applehatch::gateway::testing {
 
 inline constexpr auto fleetStart = Instant(std::chrono::seconds(100));
-inline constexpr Duration digestPeriod = std::chrono::milliseconds(200);
+inline constexpr Duration digestInterval = std::chrono::milliseconds(200);
 
 inline auto routerAt(std::size_t number) -> Address
 {
     return {"10.0." + std::to_string(number / 250) + '.' + std::to_string(1 + number % 250), 7000};
 }
 
-/// A whole fleet in which every router knows of all others at the start.
+/// A simulated fleet in which every router knows all others at the start.
 class PeerFleet
 {
 public:
     struct Hooks
     {
-        /// What the router tells, beyond what the mesh itself sets.
+        /// Sets the fields of a digest that the router reports in addition to those of the mesh.
         std::function<void(std::size_t router, PeerDigest &)> fill;
-        std::function<void(std::size_t router, const PeerDigest &)> heard =
+        std::function<void(std::size_t router, const PeerDigest &)> received =
             [](std::size_t, const PeerDigest &) {};
         std::function<void(std::size_t router)> tick = [](std::size_t) {};
     };
@@ -39,21 +39,21 @@
         , random_(seed)
     {
         for (std::size_t i = 0; i < size; ++i)
-            tables_.emplace_back(routerAt(i), digestPeriod, firstLife);
+            tables_.emplace_back(routerAt(i), digestInterval, initialIncarnation);
         sequences_.resize(size);
         silent_.resize(size);
         PeerDigest greeting;
-        greeting.life = firstLife;
+        greeting.life = initialIncarnation;
         for (std::size_t i = 0; i < size; ++i) {
-            nextTick_.push_back(fleetStart + spread(tickPeriod));
-            nextDigest_.push_back(fleetStart + spread(digestPeriod));
+            nextTick_.push_back(fleetStart + randomDelay(tickInterval));
+            nextDigest_.push_back(fleetStart + randomDelay(digestInterval));
             greeting.sender = routerAt(i);
             for (std::size_t to = 0; to < size; ++to)
                 tables_[to].apply(greeting, fleetStart);
         }
     }
 
-    /// Moves time on; a router's loop is up to a few milliseconds late.
+    /// Advances time in steps of a few milliseconds, by which a router's loop may be late.
     auto runFor(Duration time) -> void
     {
         for (const auto end = now + time; now < end; now += step) {
@@ -67,12 +67,13 @@
 
     enum class Send { Whole, Brief, ToAll };
 
-    /// A whole digest to the next routers, or one of the registry alone to the next or to all.
+    /// Sends a whole digest to the next routers (`Whole`), or one that holds the registry's state
+    /// alone to the next routers (`Brief`) or to all (`ToAll`).
     auto send(std::size_t from, Send kind) -> void
     {
         auto digest = std::make_shared<PeerDigest>();
         digest->sender = routerAt(from);
-        digest->life = firstLife;
+        digest->life = initialIncarnation;
         digest->sequence = ++sequences_[from];
         digest->brief = kind != Send::Whole;
         hooks_.fill(from, *digest);
@@ -84,7 +85,8 @@
             post(target, digest);
     }
 
-    /// The process neither sends nor hears from now on, as after a kill or while it is frozen.
+    /// Makes a router neither send nor receive from now on, as after a kill or while it is frozen;
+    /// or ends that.
     auto silence(std::size_t router, bool silent = true) -> void { silent_[router] = silent; }
     auto table(std::size_t router) -> PeerTable & { return tables_[router]; }
     [[nodiscard]] auto size() const -> std::size_t { return tables_.size(); }
@@ -93,54 +95,54 @@
     Instant now = fleetStart;
 
 private:
-    struct Flight
+    struct Datagram
     {
-        Instant at;
+        Instant arrival;
         std::size_t to = 0;
         std::shared_ptr<const PeerDigest> digest;
 
-        auto operator<(const Flight &other) const -> bool { return at > other.at; }
+        auto operator<(const Datagram &other) const -> bool { return arrival > other.arrival; }
     };
 
     static constexpr Duration step = std::chrono::milliseconds(5);
-    static constexpr Duration tickPeriod = std::chrono::milliseconds(100);
-    static constexpr Duration longestWay = std::chrono::milliseconds(8);
-    static constexpr double lost = 0.02;
-    static constexpr std::uint64_t firstLife = 1;
+    static constexpr Duration tickInterval = std::chrono::milliseconds(100);
+    static constexpr Duration maxTransitTime = std::chrono::milliseconds(8);
+    static constexpr double lossRate = 0.02;
+    static constexpr std::uint64_t initialIncarnation = 1;
 
-    auto spread(Duration most) -> Duration
+    auto randomDelay(Duration maxDelay) -> Duration
     {
-        return Duration(std::uniform_int_distribution<Duration::rep>(0, most.count())(random_));
+        return Duration(std::uniform_int_distribution<Duration::rep>(0, maxDelay.count())(random_));
     }
 
     auto post(const Address &target, const std::shared_ptr<const PeerDigest> &digest) -> void
     {
-        if (std::bernoulli_distribution(lost)(random_))
+        if (std::bernoulli_distribution(lossRate)(random_))
             return;
         unsigned high = 0;
         unsigned low = 0;
         std::sscanf(target.ip.c_str(), "10.0.%u.%u", &high, &low);
-        flights_.push({now + spread(longestWay), high * 250 + low - 1, digest});
+        datagrams_.push({now + randomDelay(maxTransitTime), high * 250 + low - 1, digest});
     }
 
     auto deliver() -> void
     {
-        while (!flights_.empty() && flights_.top().at <= now) {
-            const auto flight = flights_.top();
-            flights_.pop();
-            if (!silent_[flight.to] && tables_[flight.to].apply(*flight.digest, now))
-                hooks_.heard(flight.to, *flight.digest);
+        while (!datagrams_.empty() && datagrams_.top().arrival <= now) {
+            const auto datagram = datagrams_.top();
+            datagrams_.pop();
+            if (!silent_[datagram.to] && tables_[datagram.to].apply(*datagram.digest, now))
+                hooks_.received(datagram.to, *datagram.digest);
         }
     }
 
     auto runRouter(std::size_t router) -> void
     {
         if (nextDigest_[router] <= now) {
-            nextDigest_[router] = now + digestPeriod;
+            nextDigest_[router] = now + digestInterval;
             send(router, Send::Whole);
         }
         if (nextTick_[router] <= now) {
-            nextTick_[router] = now + tickPeriod;
+            nextTick_[router] = now + tickInterval;
             hooks_.tick(router);
         }
     }
@@ -152,7 +154,7 @@
     std::vector<bool> silent_;
     std::vector<Instant> nextTick_;
     std::vector<Instant> nextDigest_;
-    std::priority_queue<Flight> flights_;
+    std::priority_queue<Datagram> datagrams_;
 };
 
 } // namespace applehatch::gateway::testing
--- a/test/gateway/peers-test.cc
+++ b/test/gateway/peers-test.cc
@@ -47,7 +47,7 @@
 
 BOOST_AUTO_TEST_SUITE(gateway_peers)
 
-BOOST_AUTO_TEST_CASE(a_digest_survives_the_way)
+BOOST_AUTO_TEST_CASE(a_digest_round_trips_through_its_encoding)
 {
     auto digest = digestOf(3);
     digest.leaving = true;
@@ -70,8 +70,9 @@
     BOOST_TEST((read->contexts == digest.contexts));
 }
 
-// Anybody may send to the port. Bytes that are no message must change nothing and end nothing.
-BOOST_AUTO_TEST_CASE(bytes_that_are_no_message_are_told)
+// Any process may send to the port. Bytes that are not a message must be rejected
+// without an effect.
+BOOST_AUTO_TEST_CASE(bytes_that_are_no_message_are_rejected)
 {
     const auto digest = encodeDigest(digestOf(1));
     const auto news = encodeNews(manyRoutes());
@@ -83,7 +84,7 @@
         BOOST_TEST(!decodeNews(bytes).has_value());
 }
 
-// A configuration of 1,000 routes must reach every router within two seconds. Three routers give it
+// A configuration of 1,000 routes must reach every router within two seconds. Three routers send it
 // to the others, some over links of 10 Mbit/s; its plain text would take 0.1 s for each of ten.
 BOOST_AUTO_TEST_CASE(news_are_a_tenth_of_their_text)
 {
@@ -98,9 +99,9 @@
     BOOST_TEST(read->changes.at(1).removed);
 }
 
-// A digest of more than 1,400 bytes travels in two packets and is lost when either is. One of 30
-// routers, with a request at each of 50 engines and 24 contexts used since the last round, must
-// fit.
+// A digest of more than 1,400 bytes is sent in two packets and lost when either packet is lost. A
+// digest in a fleet of 30 routers, with a request at each of 50 engines and 24 contexts used since
+// the last round, must fit in one packet.
 BOOST_AUTO_TEST_CASE(a_digest_fits_one_packet)
 {
     constexpr std::size_t packetBytes = 1400;
@@ -122,29 +123,29 @@
     BOOST_TEST(sized(50, 24) < packetBytes);
 }
 
-// Told to all others five times a second, 390 routers would send 29 MB a second each. Each digest
-// goes to ten, and everybody is told within a round.
-BOOST_AUTO_TEST_CASE(digests_go_round_a_large_fleet)
+// If digests went to all peers five times a second, each of 390 routers would send 29 MB a second.
+// Each digest goes to ten peers, and all peers get one within a round.
+BOOST_AUTO_TEST_CASE(digests_reach_a_large_fleet_within_a_round)
 {
     constexpr std::size_t fleet = 390;
     PeerTable table(router(0), period, 1);
     for (std::size_t i = 1; i < fleet; ++i)
         table.apply(digestOf(i), start);
-    std::set<std::string> told;
+    std::set<std::string> reached;
     const auto digests = table.round(start) / period;
     for (int i = 0; i < digests; ++i) {
         const auto targets = table.nextTargets(start);
         BOOST_TEST(targets.size() <= PeerTable::fanout);
         for (const auto &target : targets)
-            told.insert(target.ip);
+            reached.insert(target.ip);
     }
-    BOOST_TEST(told.size() == fleet - 1);
+    BOOST_TEST(reached.size() == fleet - 1);
     BOOST_TEST((table.believedFor(start) >= 3 * table.round(start)));
     BOOST_TEST(table.nextMembers(start).size() <= PeerTable::mostMembers);
 }
 
-// Guards against a router that believes all others gone because it was held up, and against one
-// that believes in them for ever.
+// Guards against a router that considers all its peers dead because it was stalled itself, and
+// against one that considers silent peers alive for ever.
 BOOST_AUTO_TEST_CASE(silence_is_judged_by_the_time_spent_listening)
 {
     for (const std::size_t fleet : {5, 68, 390}) {
@@ -152,9 +153,9 @@
         for (std::size_t i = 1; i < fleet; ++i)
             table.apply(digestOf(i), start);
         static_cast<void>(table.nextTargets(start));
-        for (const auto heldUp : {1s, 4s, 10s, 100s}) {
-            BOOST_TEST(table.alive(start + heldUp).size() == fleet - 1);
-            BOOST_TEST(table.routers(start + heldUp) == fleet);
+        for (const auto stall : {1s, 4s, 10s, 100s}) {
+            BOOST_TEST(table.alive(start + stall).size() == fleet - 1);
+            BOOST_TEST(table.routers(start + stall) == fleet);
         }
         auto now = start + 100s;
         static_cast<void>(table.nextTargets(now));
@@ -165,8 +166,8 @@
     }
 }
 
-// Guards against a process that is never heard again because the time of day was set back before it
-// started: its life is then lower than that of the process before.
+// Guards against a process whose digests are ignored for ever because the clock was set back before
+// it started: its incarnation is then lower than that of the previous process.
 BOOST_AUTO_TEST_CASE(a_process_that_starts_with_its_clock_set_back_is_heard)
 {
     PeerTable table(router(0), period, 1);
@@ -177,7 +178,7 @@
     auto next = digestOf(1, 1);
     next.life = 2000;
     next.readers = {{router(1), 2001, 12, 0ms}};
-    BOOST_TEST(!table.apply(next, start + 200ms)); // It may be the earlier process's, late.
+    BOOST_TEST(!table.apply(next, start + 200ms)); // It may be a late digest of an earlier process.
     const auto later = start + PeerTable::aliveFor + 1ms;
     next.sequence = 2;
     BOOST_TEST(table.apply(next, later));
@@ -188,22 +189,22 @@
     BOOST_TEST(table.readerBook().readers(muchLater).size() == 1);
 }
 
-// A router hears of a reader only through another. It must know that somebody reads, until the word
-// is too old; and at once that a reader stopped, when that one says so itself.
-BOOST_AUTO_TEST_CASE(readers_are_known_through_others)
+// A router learns of a reader only through another peer. It must trust that report until it is too
+// old, and must drop the reader at once when the reader itself reports that it stopped.
+BOOST_AUTO_TEST_CASE(readers_are_known_through_peers)
 {
     PeerTable table(router(0), period, 1);
-    auto told = digestOf(1);
-    told.readers = {{router(2), 5, 11, 300ms}};
-    table.apply(told, start);
+    auto digest = digestOf(1);
+    digest.readers = {{router(2), 5, 11, 300ms}};
+    table.apply(digest, start);
     BOOST_TEST(table.readerBook().readers(start).size() == 1);
     BOOST_TEST(table.readerBook().readers(start).at(0).revision == 11);
-    const auto ends = start + direct::ReaderBook::trustedFor - 300ms;
-    BOOST_TEST(table.readerBook().readers(ends).size() == 1);
-    BOOST_TEST(table.readerBook().readers(ends + 1ms).empty());
-    told.sequence = 2;
-    told.readers = {{router(2), 6, 12, 0ms}};
-    table.apply(told, start + 1s);
+    const auto expiry = start + direct::ReaderBook::trustedFor - 300ms;
+    BOOST_TEST(table.readerBook().readers(expiry).size() == 1);
+    BOOST_TEST(table.readerBook().readers(expiry + 1ms).empty());
+    digest.sequence = 2;
+    digest.readers = {{router(2), 6, 12, 0ms}};
+    table.apply(digest, start + 1s);
     BOOST_TEST(table.readerBook().readers(start + 1s).size() == 1);
     table.apply(digestOf(2), start + 1s);
     BOOST_TEST(table.readerBook().readers(start + 1s).empty());
--- a/test/gateway/process-test.cc
+++ b/test/gateway/process-test.cc
@@ -16,23 +16,23 @@
 using namespace applehatch::gateway;
 using namespace applehatch::gateway::testing;
 
-const auto servesAll = [](UpstreamSide &side, const std::string &request) {
-    side.send(plainAnswer(request, "served"));
+const auto servesAll = [](ScriptedConnection &connection, const std::string &request) {
+    connection.send(plainAnswer(request, "served"));
 };
 
-auto statusOfReadiness(asio::io_context &loop, const Gateway &gateway) -> std::string
+auto readinessStatus(asio::io_context &loop, const Gateway &gateway) -> std::string
 {
     Caller probe(loop, gateway.settings.readiness);
     probe.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    probe.gets("\r\n\r\n");
+    probe.receives("\r\n\r\n");
     return probe.received.substr(9, 3);
 }
 
-/// The same as `runUntil`, one handler at a time, so that nothing after the condition has run.
+/// Runs the loop one handler at a time until `condition` holds, so that no handler runs after that.
 template <typename Condition>
-auto runUntilStep(asio::io_context &loop, Condition condition) -> bool
+auto runHandlersUntil(asio::io_context &loop, Condition condition) -> bool
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
+    const auto end = std::chrono::steady_clock::now() + testTimeout;
     while (!condition() && std::chrono::steady_clock::now() < end) {
         loop.restart();
         loop.run_one_for(2ms);
@@ -40,7 +40,7 @@
     return condition();
 }
 
-/// Three gateways that know one other and run on a thread of their own.
+/// Three gateways that have the same gateway as their seed and run on one separate thread.
 class RunningPeers
 {
 public:
@@ -65,7 +65,7 @@
     return scrape(loop, gateway).find("applehatch_peers 3") != std::string::npos;
 }
 
-/// One gateway more than read the registry; all know the same configuration.
+/// One gateway more than the number of registry readers; all have the same configuration.
 class ReadingFleet
 {
 public:
@@ -80,11 +80,11 @@
                 seeds.push_back(gateways.front()->settings.peers);
             gateways.push_back(std::make_unique<Gateway>(loop, seeds));
             gateways[i]->host.onReadingTurn([this, i](bool turn) { reads[i] = turn; });
-            gateways[i]->tell(testConfiguration(1), {});
+            gateways[i]->applyRegistry(testConfiguration(1), {});
         }
     }
 
-    /// The number of the one that stops reading, since three others do.
+    /// Waits until a gateway stops reading, since three others read, and returns its index.
     auto waitForFollower() -> std::size_t
     {
         const auto first = [this] { return std::find(reads.begin(), reads.end(), false); };
@@ -103,67 +103,67 @@
 
 BOOST_AUTO_TEST_SUITE(gateway_process)
 
-// A router has just started and its registry is away. Its callers must not be told that their route
-// or key does not exist; they are told to come back, and not after seconds.
+// A router has just started and cannot reach its registry. Its callers must not be told that their
+// route or key does not exist; they are told to retry shortly, not after several seconds.
 BOOST_AUTO_TEST_CASE(nothing_is_denied_before_a_configuration_is_known)
 {
     asio::io_context loop(1);
     Gateway gateway(loop);
-    BOOST_TEST(statusOfReadiness(loop, gateway) == "503");
+    BOOST_TEST(readinessStatus(loop, gateway) == "503");
     auto caller = gateway.caller();
     caller.send(testing::requestText("/safe/a", "r1"));
-    BOOST_TEST(caller.gets("HTTP/1.1 503"));
+    BOOST_TEST(caller.receives("HTTP/1.1 503"));
     BOOST_TEST(!headerOf(caller.received, "Retry-After").empty());
-    gateway.tell(testConfiguration(), {});
-    BOOST_TEST(statusOfReadiness(loop, gateway) == "200");
+    gateway.applyRegistry(testConfiguration(), {});
+    BOOST_TEST(readinessStatus(loop, gateway) == "200");
 }
 
-// A router starts again after a kill, and callers come before it has read its configuration some
-// milliseconds later. They are served then; the one that has left meanwhile causes no work.
+// A router restarts after a kill, and requests arrive some milliseconds before it has read its
+// configuration. They are served then; the request of a caller that has disconnected is dropped.
 BOOST_AUTO_TEST_CASE(callers_that_come_early_are_served_when_the_configuration_is_there)
 {
     asio::io_context loop(1);
     ScriptedUpstream upstream(loop, "one", servesAll);
     Gateway gateway(loop);
     auto caller = gateway.caller();
-    auto left = gateway.caller();
+    auto disconnected = gateway.caller();
     caller.send(testing::requestText("/safe/a", "r1"));
-    left.send(testing::requestText("/safe/b", "r2"));
+    disconnected.send(testing::requestText("/safe/b", "r2"));
     runUntil(
         loop, [] { return false; }, 50ms);
-    left.leave();
+    disconnected.disconnect();
     runUntil(
         loop, [] { return false; }, 50ms);
-    gateway.tell(testConfiguration(), {upstream.entry("pool")});
-    BOOST_TEST(caller.gets("served"));
+    gateway.applyRegistry(testConfiguration(), {upstream.entry("pool")});
+    BOOST_TEST(caller.receives("served"));
     BOOST_TEST(upstream.requests().size() == 1);
 }
 
-// Unknown routes and keys are denied, also on a connection that was open when the key was revoked;
-// an older configuration that comes late changes nothing.
+// Unknown routes and keys are denied, also on a connection that was open when the key was revoked.
+// An older configuration that arrives late changes nothing.
 BOOST_AUTO_TEST_CASE(a_revoked_key_is_refused_at_once_and_for_good)
 {
     asio::io_context loop(1);
     ScriptedUpstream upstream(loop, "one", servesAll);
     Gateway gateway(loop);
-    gateway.tell(testConfiguration(2), {upstream.entry("pool")});
+    gateway.applyRegistry(testConfiguration(2), {upstream.entry("pool")});
     auto caller = gateway.caller();
     caller.send(testing::requestText("/safe/a", "r1"));
-    BOOST_TEST(caller.gets("served"));
-    gateway.tell(testConfiguration(3, "key-2"), {upstream.entry("pool")});
+    BOOST_TEST(caller.receives("served"));
+    gateway.applyRegistry(testConfiguration(3, "key-2"), {upstream.entry("pool")});
     caller.send(testing::requestText("/safe/a", "r2"));
-    BOOST_TEST(caller.gets("HTTP/1.1 401"));
-    gateway.tell(testConfiguration(2), {upstream.entry("pool")});
+    BOOST_TEST(caller.receives("HTTP/1.1 401"));
+    gateway.applyRegistry(testConfiguration(2), {upstream.entry("pool")});
     caller.received.clear();
     caller.send(testing::requestText("/safe/a", "r3"));
-    BOOST_TEST(caller.gets("HTTP/1.1 401"));
+    BOOST_TEST(caller.receives("HTTP/1.1 401"));
     caller.received.clear();
     caller.send(testing::requestText("/none/a", "r4"));
-    BOOST_TEST(caller.gets("HTTP/1.1 404"));
+    BOOST_TEST(caller.receives("HTTP/1.1 404"));
     BOOST_TEST(upstream.requests().size() == 1);
 }
 
-// Requests that two readers could take for different messages are refused, and nothing that is
+// Requests that two HTTP parsers could interpret differently are refused, and no request that is
 // hidden in them reaches an upstream.
 BOOST_AUTO_TEST_CASE(an_ambiguous_request_is_refused)
 {
@@ -183,18 +183,18 @@
     asio::io_context loop(1);
     ScriptedUpstream upstream(loop, "one", servesAll);
     Gateway gateway(loop);
-    gateway.tell(testConfiguration(), {upstream.entry("pool")});
+    gateway.applyRegistry(testConfiguration(), {upstream.entry("pool")});
     for (const auto &request : requests) {
         auto caller = gateway.caller();
         caller.send(request);
-        BOOST_TEST(caller.gets("HTTP/1.1 400"), request);
-        BOOST_TEST(caller.seesEnd(), request);
+        BOOST_TEST(caller.receives("HTTP/1.1 400"), request);
+        BOOST_TEST(caller.seesClose(), request);
     }
     BOOST_TEST(upstream.requests().empty());
 }
 
-// Headers or a body beyond the operator's limits are refused with the status that says which.
-BOOST_AUTO_TEST_CASE(limits_of_the_configuration_hold)
+// Requests that exceed one of the operator's limits are refused with the status for that limit.
+BOOST_AUTO_TEST_CASE(limits_of_the_configuration_are_enforced)
 {
     asio::io_context loop(1);
     ScriptedUpstream upstream(loop, "one", servesAll);
@@ -203,92 +203,94 @@
     configuration->limits.headerBytes = 1000;
     configuration->limits.bodyBytes = 100;
     configuration->limits.headerTimeout = 200ms;
-    gateway.tell(configuration, {upstream.entry("pool")});
+    gateway.applyRegistry(configuration, {upstream.entry("pool")});
     auto large = gateway.caller();
     large.send(testing::requestText("/safe/a", "r1", "X-Fill: " + std::string(2000, 'x') + "\r\n"));
-    BOOST_TEST(large.gets("HTTP/1.1 431"));
+    BOOST_TEST(large.receives("HTTP/1.1 431"));
     auto body = gateway.caller();
     body.send(testing::requestText("/safe/a", "r2", {}, std::string(200, 'x')));
-    BOOST_TEST(body.gets("HTTP/1.1 413"));
+    BOOST_TEST(body.receives("HTTP/1.1 413"));
     auto slow = gateway.caller();
     slow.send("POST /safe/a HTTP/1.1\r\nHost:");
-    BOOST_TEST(slow.gets("HTTP/1.1 408"));
+    BOOST_TEST(slow.receives("HTTP/1.1 408"));
     BOOST_TEST(upstream.requests().empty());
 }
 
-// The process is told to stop while a stream runs. The stream ends whole, callers are told to
-// close, the balancer is told not to send more, and then the loop ends by itself.
+// The process is asked to stop while a stream runs. The stream completes, idle connections are
+// closed, the load balancer sees 503 and sends no more callers, and then the loop ends by itself.
 BOOST_AUTO_TEST_CASE(a_stop_cuts_nothing)
 {
     asio::io_context loop(1);
-    std::vector<std::shared_ptr<UpstreamSide>> running;
-    ScriptedUpstream upstream(loop, "one", [&](UpstreamSide &side, const std::string &request) {
-        side.send(streamHead(request) + eventChunk(1));
-        running.push_back(side.shared_from_this());
-    });
+    std::vector<std::shared_ptr<ScriptedConnection>> running;
+    ScriptedUpstream upstream(loop, "one",
+                              [&](ScriptedConnection &connection, const std::string &request) {
+                                  connection.send(streamHead(request) + eventChunk(1));
+                                  running.push_back(connection.shared_from_this());
+                              });
     Gateway gateway(loop);
-    gateway.tell(testConfiguration(), {upstream.entry("pool")});
+    gateway.applyRegistry(testConfiguration(), {upstream.entry("pool")});
     auto caller = gateway.caller();
     auto idle = gateway.caller();
     caller.send(testing::requestText("/stream/a", "r1"));
-    BOOST_TEST(caller.gets("piece-1"));
+    BOOST_TEST(caller.receives("piece-1"));
     gateway.host.stop();
-    BOOST_TEST(statusOfReadiness(loop, gateway) == "503");
-    BOOST_TEST(idle.seesEnd());
+    BOOST_TEST(readinessStatus(loop, gateway) == "503");
+    BOOST_TEST(idle.seesClose());
     BOOST_TEST(!caller.ended);
     running.at(0)->send(eventChunk(2) + std::string(lastChunk));
-    BOOST_TEST(caller.gets("piece-2"));
-    BOOST_TEST(caller.seesEnd());
+    BOOST_TEST(caller.receives("piece-2"));
+    BOOST_TEST(caller.seesClose());
     BOOST_TEST(caller.received.ends_with(lastChunk));
     BOOST_TEST(runUntil(loop, [&] { return loop.stopped(); }));
 }
 
-// All routers are stopped in turn, faster than they come back. The balancer finds none ready and
-// sends callers to those that stop. A short stream is served there; one that would be cut when the
-// process ends is refused at once, and its caller is told that it did not run.
+// All routers are stopped in turn, faster than they restart. The load balancer finds none ready and
+// sends callers to routers that are stopping. A short stream is served there; one that would be cut
+// when the process ends is refused at once, and its caller is told that it did not run.
 BOOST_AUTO_TEST_CASE(the_last_router_takes_what_it_can_finish)
 {
     asio::io_context loop(1);
-    ScriptedUpstream upstream(loop, "one", [](UpstreamSide &side, const std::string &request) {
-        side.send(streamHead(request) + eventChunk(1) + std::string(lastChunk));
-    });
+    ScriptedUpstream upstream(
+        loop, "one", [](ScriptedConnection &connection, const std::string &request) {
+            connection.send(streamHead(request) + eventChunk(1) + std::string(lastChunk));
+        });
     Gateway gateway(loop);
-    gateway.tell(testConfiguration(), {upstream.entry("pool")});
+    gateway.applyRegistry(testConfiguration(), {upstream.entry("pool")});
     gateway.host.stop();
     runUntil(
         loop, [] { return false; }, 2600ms);
-    auto briefly = gateway.caller();
-    briefly.send(testing::requestText("/stream/a", "r1", "Token-Counts: 20\r\n"));
-    BOOST_TEST(briefly.gets("piece-1"));
-    auto endless = gateway.caller();
-    endless.send(testing::requestText("/stream/a", "r2", "Token-Counts: 2000\r\n"));
-    BOOST_TEST(endless.gets("HTTP/1.1 503"));
-    BOOST_TEST(!headerOf(endless.received, "Retry-After").empty());
+    auto shortStream = gateway.caller();
+    shortStream.send(testing::requestText("/stream/a", "r1", "Token-Counts: 20\r\n"));
+    BOOST_TEST(shortStream.receives("piece-1"));
+    auto longStream = gateway.caller();
+    longStream.send(testing::requestText("/stream/a", "r2", "Token-Counts: 2000\r\n"));
+    BOOST_TEST(longStream.receives("HTTP/1.1 503"));
+    BOOST_TEST(!headerOf(longStream.received, "Retry-After").empty());
     BOOST_TEST(upstream.requests().size() == 1);
 }
 
-// Opening a connection to an upstream takes a second on a crowded link. Meanwhile the upstream says
-// that it leaves; it would cut the request when it ends. Nothing was sent yet, so another takes it.
+// Connecting to an upstream takes a second on a congested link. Meanwhile the upstream starts to
+// drain and would cut the request when it exits. Nothing was sent yet, so another upstream gets it.
 BOOST_AUTO_TEST_CASE(an_upstream_that_left_while_connecting_gets_nothing)
 {
     asio::io_context loop(1);
-    ScriptedUpstream leaver(loop, "leaver", servesAll);
+    ScriptedUpstream draining(loop, "leaver", servesAll);
     ScriptedUpstream other(loop, "other", servesAll);
     Gateway gateway(loop);
-    gateway.tell(testConfiguration(), {leaver.entry("pool")});
+    gateway.applyRegistry(testConfiguration(), {draining.entry("pool")});
     auto caller = gateway.caller();
     caller.send(testing::requestText("/once/a", "r1"));
-    BOOST_REQUIRE(runUntilStep(loop, [&] { return gateway.host.pool().opened() == 1; }));
-    auto leaving = leaver.entry("pool");
-    leaving.state = direct::UpstreamState::Leaving;
-    gateway.tell(testConfiguration(2), {leaving, other.entry("pool")});
-    BOOST_TEST(caller.gets("served"));
-    BOOST_TEST(leaver.requests().empty());
+    BOOST_REQUIRE(runHandlersUntil(loop, [&] { return gateway.host.pool().opened() == 1; }));
+    auto drainingEntry = draining.entry("pool");
+    drainingEntry.state = direct::UpstreamState::Leaving;
+    gateway.applyRegistry(testConfiguration(2), {drainingEntry, other.entry("pool")});
+    BOOST_TEST(caller.receives("served"));
+    BOOST_TEST(draining.requests().empty());
     BOOST_TEST(other.requests().size() == 1);
 }
 
-// The registry turns one router away and serves the other. The first learns configuration and
-// upstreams from its peer, found through a seed, and refuses a revoked key like everybody.
+// The registry refuses one router and serves the other. The first router gets configuration and
+// upstreams from its peer, found through a seed, and refuses a revoked key like all others.
 BOOST_AUTO_TEST_CASE(a_router_without_the_registry_learns_from_its_peer)
 {
     asio::io_context loop(1);
@@ -299,15 +301,16 @@
     cutOff.registry.configuration = testConfiguration(7);
     cutOff.registry.upstreams = {upstream.entry("pool")};
     BOOST_TEST(!cutOff.host.isReady());
-    informed.tell(testConfiguration(7), {upstream.entry("pool")});
+    informed.applyRegistry(testConfiguration(7), {upstream.entry("pool")});
     BOOST_TEST(runUntil(loop, [&] { return cutOff.host.isReady(); }));
     auto caller = cutOff.caller();
     caller.send(testing::requestText("/safe/a", "r1"));
-    BOOST_TEST(caller.gets("served"));
+    BOOST_TEST(caller.receives("served"));
 }
 
-// Three routers read the registry for all. The other learns of a change from them at once, or it
-// would still refuse a customer's new key seconds after the operator was told that it holds.
+// Three routers read the registry for all. The other router must learn of a change from them at
+// once; otherwise it would still refuse a customer's new key seconds after the operator was told
+// that the key is valid.
 BOOST_AUTO_TEST_CASE(a_router_that_does_not_read_learns_of_each_change)
 {
     asio::io_context loop(1);
@@ -316,7 +319,7 @@
     for (std::size_t i = 0; i < fleet.gateways.size(); ++i) {
         fleet.gateways[i]->registry.configuration = testConfiguration(2);
         if (i != follower)
-            fleet.gateways[i]->tell(testConfiguration(2), {});
+            fleet.gateways[i]->applyRegistry(testConfiguration(2), {});
     }
     BOOST_TEST(runUntil(loop, [&] {
         return fleet.gateways[follower]->host.dispatcher().configuration()->version == 2;
@@ -324,9 +327,9 @@
     BOOST_TEST(std::count(fleet.reads.begin(), fleet.reads.end(), true) == 3);
 }
 
-// The registry turns away the routers that read it and would serve the other. That one notices that
-// nobody reads and does so itself; the fleet would else miss every change until the trouble is
-// over.
+// The registry refuses the routers that read it and would serve the other. That router notices that
+// no router reads and reads the registry itself; otherwise the fleet would miss every change until
+// the fault is over.
 BOOST_AUTO_TEST_CASE(a_router_reads_when_the_readers_are_turned_away)
 {
     asio::io_context loop(1);
@@ -339,40 +342,41 @@
     BOOST_TEST(runUntil(loop, [&] { return fleet.reads[follower] == true; }));
 }
 
-// Guards against a router that never stops reading because reading holds it up: hundreds that start
-// together then all read on, and none serves.
+// Guards against a router that never stops reading because reading stalls it: hundreds of routers
+// that start together would then all continue to read, and none would serve.
 BOOST_AUTO_TEST_CASE(a_router_that_is_always_held_up_still_stops_reading)
 {
     asio::io_context loop(1);
     asio::steady_timer work(loop);
-    std::function<void()> holdUp = [&] {
+    std::function<void()> stallLoop = [&] {
         std::this_thread::sleep_for(300ms);
         work.expires_after(1ms);
-        work.async_wait([&](boost::system::error_code) { holdUp(); });
+        work.async_wait([&](boost::system::error_code) { stallLoop(); });
     };
-    asio::post(loop, [&] { holdUp(); });
+    asio::post(loop, [&] { stallLoop(); });
     ReadingFleet fleet(loop);
     fleet.waitForFollower();
 }
 
-// Guards against a router that believes its peers gone because it was held up itself.
+// Guards against a router that considers its peers dead because it was stalled itself.
 BOOST_AUTO_TEST_CASE(a_router_that_was_held_up_loses_no_peer)
 {
     asio::io_context loop(1);
-    Gateway heldUp(loop);
-    const RunningPeers peers(heldUp.settings.peers);
-    BOOST_REQUIRE(runUntil(loop, [&] { return knowsAllPeers(loop, heldUp); }));
+    Gateway stalled(loop);
+    const RunningPeers peers(stalled.settings.peers);
+    BOOST_REQUIRE(runUntil(loop, [&] { return knowsAllPeers(loop, stalled); }));
     for (int times = 0; times < 3; ++times) {
         std::this_thread::sleep_for(2 * PeerTable::aliveFor);
         runUntil(
             loop, [] { return false; }, 300ms);
     }
-    const auto metrics = scrape(loop, heldUp);
+    const auto metrics = scrape(loop, stalled);
     BOOST_TEST(metrics.find("event=\"held-up\"") != std::string::npos);
     BOOST_TEST(metrics.find("event=\"peer-lost\"") == std::string::npos);
 }
 
-// Guards against a starved router, whose every turn comes late, taking that for its peers' silence.
+// Guards against a router that is starved of processor time, so that all its timers run late, and
+// mistakes that for silence of its peers.
 BOOST_AUTO_TEST_CASE(a_starved_router_loses_no_peer)
 {
     asio::io_context loop(1);
@@ -388,16 +392,16 @@
     BOOST_TEST(scrape(loop, starved).find("event=\"peer-lost\"") == std::string::npos);
 }
 
-// A router told of a new revision, was killed, and answers again with an empty memory while the
-// others still believe the old word. Asking it again at once would keep both busy until that word
-// is too old, at the very moment when all routers start again.
+// A router advertised a new revision, was killed, and answers again without any state while its
+// peers still trust the old advertisement. Asking it again at once would keep both busy until the
+// advertisement expires, at the moment when all routers restart.
 BOOST_AUTO_TEST_CASE(a_peer_with_nothing_new_is_not_asked_again_at_once)
 {
     asio::io_context loop(1);
-    ScriptedUpstream peer(loop, "peer", [](UpstreamSide &side, const std::string &) {
+    ScriptedUpstream peer(loop, "peer", [](ScriptedConnection &connection, const std::string &) {
         const auto nothing = encodeNews({});
-        side.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(nothing.size())
-                  + "\r\n\r\n" + nothing);
+        connection.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(nothing.size())
+                        + "\r\n\r\n" + nothing);
     });
     Gateway gateway(loop);
     PeerDigest digest;
@@ -411,13 +415,14 @@
     BOOST_REQUIRE(runUntil(loop, [&] { return !peer.requests().empty(); }));
     runUntil(
         loop, [] { return false; }, 500ms);
-    BOOST_TEST(peer.requests().size() > 1U, "it is asked again");
-    BOOST_TEST(peer.requests().size() < 10U, "with each look at what is known, ten a second");
+    BOOST_TEST(peer.requests().size() > 1U, "the peer is asked again");
+    BOOST_TEST(peer.requests().size() < 10U,
+               "the peer is asked at each check for newer revisions, ten a second");
 }
 
-// A router is held up for a moment, by a large configuration or a slow host. A caller's request
-// comes just before its idle connection was due to be closed, and both are found together. The
-// request must be answered; its caller would else see a connection that breaks without an answer.
+// A router stalls for a moment because of a large configuration or a slow host. A request arrives
+// just before the idle timeout of its connection, and both events are handled together. The request
+// must be answered; otherwise its caller would see the connection close without an answer.
 BOOST_AUTO_TEST_CASE(a_request_that_comes_with_the_idle_limit_is_answered)
 {
     asio::io_context loop(1);
@@ -425,36 +430,37 @@
     Gateway gateway(loop);
     auto configuration = testConfiguration();
     configuration->limits.idleTimeout = 100ms; // Closed 2 s after it.
-    gateway.tell(configuration, {upstream.entry("pool")});
+    gateway.applyRegistry(configuration, {upstream.entry("pool")});
     auto fresh = gateway.caller();
     auto kept = gateway.caller();
     kept.send(testing::requestText("/safe/a", "r1"));
-    BOOST_TEST(kept.gets("served"));
+    BOOST_TEST(kept.receives("served"));
     kept.received.clear();
     runUntil(
         loop, [] { return false; }, 1900ms);
     fresh.send(testing::requestText("/safe/a", "r2"));
     kept.send(testing::requestText("/safe/a", "r3"));
     std::this_thread::sleep_for(500ms);
-    BOOST_TEST(fresh.gets("served"));
-    BOOST_TEST(kept.gets("served"));
+    BOOST_TEST(fresh.receives("served"));
+    BOOST_TEST(kept.receives("served"));
 }
 
-// An operator scrapes the metrics and finds the request that was just answered.
-BOOST_AUTO_TEST_CASE(metrics_tell_of_requests)
+// The metrics that an operator scrapes include the request that was just answered.
+BOOST_AUTO_TEST_CASE(metrics_count_requests)
 {
     asio::io_context loop(1);
     ScriptedUpstream upstream(loop, "one", servesAll);
     Gateway gateway(loop);
-    gateway.tell(testConfiguration(), {upstream.entry("pool")});
+    gateway.applyRegistry(testConfiguration(), {upstream.entry("pool")});
     auto caller = gateway.caller();
     caller.send(testing::requestText("/safe/a", "r1"));
-    BOOST_TEST(caller.gets("served"));
+    BOOST_TEST(caller.receives("served"));
     Caller scraper(loop, gateway.settings.metrics);
     scraper.send("GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n");
-    BOOST_TEST(scraper.gets("applehatch_requests_total{outcome=\"answered\",status=\"200\"} 1"));
-    BOOST_TEST(scraper.gets("applehatch_request_first_byte_seconds_bucket"));
-    BOOST_TEST(scraper.gets("applehatch_loop_delay_seconds_bucket"));
+    BOOST_TEST(
+        scraper.receives("applehatch_requests_total{outcome=\"answered\",status=\"200\"} 1"));
+    BOOST_TEST(scraper.receives("applehatch_request_first_byte_seconds_bucket"));
+    BOOST_TEST(scraper.receives("applehatch_loop_delay_seconds_bucket"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/gateway/reading-fleet-test.cc
+++ b/test/gateway/reading-fleet-test.cc
@@ -1,4 +1,4 @@
-// Who reads the registry for a fleet of any size, and what the others believe of it.
+// Which routers read the registry in fleets of several sizes, and which readers the others trust.
 #include "registry-fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -17,18 +17,18 @@
 struct FleetSize
 {
     std::size_t routers;
-    Duration changeWithin;
+    Duration changeBound;
 };
 
-/// What the users run and ask for: two seconds on small sites, four with dozens of routers, 18 at
-/// the size to design for.
+/// Fleet sizes that users run and the time within which they need a change in force: 2 s on small
+/// sites, 4 s with dozens of routers, 18 s at the largest size that the design supports.
 constexpr std::array fleets{FleetSize{5, 2s}, FleetSize{30, 2s}, FleetSize{68, 4s},
                             FleetSize{390, 18s}};
-constexpr std::size_t largest = 390;
-constexpr Duration tooShort = 500ms;
-constexpr Duration settling = 5s;
+constexpr std::size_t largestFleet = 390;
+constexpr Duration unreachableBound = 500ms;
+constexpr Duration settlingTime = 5s;
 
-/// The first routers read, and all pass on whom they know to read.
+/// A fleet in which the first routers always read, and all routers report the readers they know.
 class FixedReaders
 {
 public:
@@ -37,8 +37,8 @@
                 {[this](std::size_t router, PeerDigest &digest) { fill(router, digest); }})
     { }
 
-    /// Whether every other router knows of all readers.
-    auto isKnownToAll() -> bool
+    /// Whether every router that does not read knows all readers.
+    auto allKnowReaders() -> bool
     {
         for (std::size_t i = direct::RegistryReaders::wanted; i < fleet.size(); ++i) {
             const auto known = fleet.table(i).readerBook().readers(fleet.now).size();
@@ -48,8 +48,8 @@
         return true;
     }
 
-    /// Whether any other router still believes in a reader.
-    auto isBelieved() -> bool
+    /// Whether any router that does not read still trusts a reader.
+    auto anyTrustsReader() -> bool
     {
         for (std::size_t i = direct::RegistryReaders::wanted; i < fleet.size(); ++i) {
             if (!fleet.table(i).readerBook().readers(fleet.now).empty())
@@ -63,13 +63,13 @@
 private:
     auto fill(std::size_t router, PeerDigest &digest) -> void
     {
-        auto &book = fleet.table(router).readerBook();
+        auto &tracker = fleet.table(router).readerBook();
         std::optional<direct::ReaderWord> own;
         if (router < direct::RegistryReaders::wanted) {
-            book.beat(fleet.now);
-            own = book.ownWord(1, fleet.now);
+            tracker.beat(fleet.now);
+            own = tracker.ownWord(1, fleet.now);
         }
-        digest.readers = book.told(own, fleet.now);
+        digest.readers = tracker.told(own, fleet.now);
     }
 };
 
@@ -77,60 +77,61 @@
 
 BOOST_AUTO_TEST_SUITE(reading_fleet)
 
-// Guards against a word about a reader that is gone and is made young again on its way through
-// others, so that nobody takes its place.
+// Guards against a report about a dead reader whose age is lost while it is passed on by others, so
+// that no router takes the reader's place.
 BOOST_AUTO_TEST_CASE(word_of_a_reader_that_is_gone_ends_in_time)
 {
-    // What the last word may lose of its age by the way, over all hops of the fastest path.
+    // How much of its age the last report may lose in transit, over all hops of the fastest path.
     constexpr Duration transit = 200ms;
     for (const std::size_t size : {5U, 68U, 390U}) {
         FixedReaders routers(size, 17);
         auto &fleet = routers.fleet;
         fleet.runFor(2s);
-        BOOST_TEST(routers.isBelieved());
+        BOOST_TEST(routers.anyTrustsReader());
         for (std::size_t i = 0; i < direct::RegistryReaders::wanted; ++i)
             fleet.silence(i);
-        const auto gone = fleet.now;
-        while (routers.isBelieved() && fleet.now - gone < 10s)
+        const auto silencedAt = fleet.now;
+        while (routers.anyTrustsReader() && fleet.now - silencedAt < 10s)
             fleet.runFor(10ms);
-        const auto lasted = std::chrono::duration_cast<std::chrono::milliseconds>(fleet.now - gone);
+        const auto lasted =
+            std::chrono::duration_cast<std::chrono::milliseconds>(fleet.now - silencedAt);
         BOOST_TEST_MESSAGE(size << " routers: believed for " << lasted.count() << " ms");
         BOOST_TEST((lasted <= direct::ReaderBook::trustedFor + transit));
     }
 }
 
-// Guards against routers that all send to the same few at a time: a word then reaches the last of
-// them after a whole round.
+// Guards against routers that all send to the same few peers at a time: a report then reaches the
+// last router only after a whole round.
 BOOST_AUTO_TEST_CASE(a_word_reaches_a_large_fleet_within_a_few_digests)
 {
     for (const std::size_t size : {30U, 68U, 390U}) {
         FixedReaders routers(size, 19);
         auto &fleet = routers.fleet;
-        while (!routers.isKnownToAll() && fleet.now - fleetStart < 10s)
+        while (!routers.allKnowReaders() && fleet.now - fleetStart < 10s)
             fleet.runFor(10ms);
         const auto took =
             std::chrono::duration_cast<std::chrono::milliseconds>(fleet.now - fleetStart);
         BOOST_TEST_MESSAGE(size << " routers: known to all after " << took.count() << " ms");
-        BOOST_TEST((took <= 5 * digestPeriod));
+        BOOST_TEST((took <= 5 * digestInterval));
     }
 }
 
-// Guards against readers that are cut off in silence and are believed to read: a change is then
-// known to nobody.
+// Guards against readers that are cut off from the registry without an error and are still trusted:
+// no router then learns of a change.
 BOOST_AUTO_TEST_CASE(a_change_is_in_force_though_all_readers_are_cut_off)
 {
     for (const auto &[size, bound] : fleets) {
         for (const auto after : {0ms, 700ms, 1400ms}) {
-            if (size == largest && after > 0ms)
-                continue; // The first is the longest wait, and this size takes seconds to play.
+            if (size == largestFleet && after > 0ms)
+                continue; // The first offset waits longest, and this size takes seconds.
             RegistryFleet routers(size, 23, bound);
-            routers.fleet.runFor(settling);
+            routers.fleet.runFor(settlingTime);
             const auto readers = routers.readers();
             BOOST_TEST(readers.size() == direct::RegistryReaders::wanted);
             for (const auto reader : readers)
                 routers.cut(reader);
             routers.fleet.runFor(after);
-            const auto took = routers.changeTakes(10s);
+            const auto took = routers.timeToApplyChange(10s);
             BOOST_TEST_MESSAGE(size << " routers, a change " << after.count()
                                     << " ms after the cut: in force after " << took.count()
                                     << " ms");
@@ -139,17 +140,17 @@
     }
 }
 
-// Guards against the same where readers are cut off one after the other.
+// Guards against a change that stays unknown when readers are cut off one after the other.
 BOOST_AUTO_TEST_CASE(a_change_is_in_force_though_readers_are_cut_off_in_turn)
 {
     for (const auto &[size, bound] : fleets) {
-        if (size == largest)
+        if (size == largestFleet)
             continue;
         RegistryFleet routers(size, 29, bound);
-        routers.fleet.runFor(settling);
+        routers.fleet.runFor(settlingTime);
         for (const auto reader : routers.readers()) {
             routers.cut(reader);
-            const auto took = routers.changeTakes(10s);
+            const auto took = routers.timeToApplyChange(10s);
             BOOST_TEST_MESSAGE(size << " routers: in force after " << took.count() << " ms");
             BOOST_TEST((took <= bound));
             routers.fleet.runFor(300ms);
@@ -157,31 +158,33 @@
     }
 }
 
-// Guards against readers that freeze: they say no more, and their last word is still passed on.
+// Guards against a change that stays unknown when readers freeze: they send nothing more, and their
+// last reports are still passed on.
 BOOST_AUTO_TEST_CASE(a_change_is_in_force_though_all_readers_freeze)
 {
     for (const auto &[size, bound] : fleets) {
-        if (size == largest)
+        if (size == largestFleet)
             continue;
         RegistryFleet routers(size, 31, bound);
-        routers.fleet.runFor(settling);
+        routers.fleet.runFor(settlingTime);
         for (const auto reader : routers.readers())
             routers.fleet.silence(reader);
-        const auto took = routers.changeTakes(10s);
+        const auto took = routers.timeToApplyChange(10s);
         BOOST_TEST_MESSAGE(size << " routers: in force after " << took.count() << " ms");
         BOOST_TEST((took <= bound));
     }
 }
 
-// Guards against routers that take each other's late words for a quiet registry, and call it.
+// Guards against routers that mistake late reports of each other for a registry that does not
+// answer, and therefore call it.
 BOOST_AUTO_TEST_CASE(three_idle_watches_serve_a_fleet)
 {
     constexpr Duration idle = 10s;
     auto bounds = std::vector<FleetSize>(fleets.begin(), fleets.end());
-    bounds.push_back({30, tooShort});
+    bounds.push_back({30, unreachableBound});
     for (const auto &[size, bound] : bounds) {
         RegistryFleet routers(size, 37, bound);
-        routers.fleet.runFor(settling);
+        routers.fleet.runFor(settlingTime);
         const auto start = routers.calls;
         routers.fleet.runFor(idle);
         const auto calls = routers.calls - start;
--- a/test/gateway/registry-fleet.h
+++ b/test/gateway/registry-fleet.h
@@ -1,4 +1,4 @@
-/// Routers that read one registry and tell each other, in virtual time.
+/// Simulates, in virtual time, routers that read one registry and inform each other.
 #pragma once
 
 #include "peer-fleet.h"
@@ -12,55 +12,59 @@
 
 namespace applehatch::gateway::testing {
 
-/// The decisions are the product's; calls, news and the registry are played with fixed times.
+/// The routers decide by the code under test; calls, fetches and the registry are simulated with
+/// fixed durations.
 class RegistryFleet
 {
 public:
-    RegistryFleet(std::size_t size, std::uint32_t seed, Duration changeWithin)
+    RegistryFleet(std::size_t size, std::uint32_t seed, Duration changeBound)
         : fleet(size, seed,
                 {[this](std::size_t router, PeerDigest &digest) { fill(router, digest); },
-                 [this](std::size_t router, const PeerDigest &digest) { heard(router, digest); },
+                 [this](std::size_t router, const PeerDigest &digest) { received(router, digest); },
                  [this](std::size_t router) { tick(router); }})
-        , quietFor_(direct::RegistryReaders::quietFor(changeWithin))
+        , maxQuietTime_(direct::RegistryReaders::quietFor(changeBound))
     {
         for (std::size_t i = 0; i < size; ++i) {
             routers_.emplace_back(direct::readerRank(routerAt(i)));
-            routers_.back().callsAt = fleetStart; // Each reads the registry once at its start.
+            // Each router reads the registry once when it starts.
+            routers_.back().nextCallAt = fleetStart;
         }
     }
 
-    /// A change is accepted; watches that wait are answered.
+    /// Makes a change in the registry, which answers the waiting watches.
     auto change() -> void
     {
         ++revision_;
         for (auto &router : routers_) {
-            const auto hears = router.call && !router.call->answer.has_value() && !router.isCut;
-            if (hears)
+            const auto isWatching =
+                router.call && !router.call->answer.has_value() && !router.isCut;
+            if (isWatching)
                 router.call->answer = fleet.now + answerTime;
         }
     }
 
-    /// Cuts a router off from the registry, in silence: calls under way stay without an answer.
+    /// Cuts a router off from the registry without closing connections: calls in progress get no
+    /// answer.
     auto cut(std::size_t router) -> void
     {
         auto &each = routers_[router];
         each.isCut = true;
         if (each.call)
-            each.call = Call{fleet.now + silenceSeen, std::nullopt, fleet.now + silenceSeen};
+            each.call = Call{fleet.now + silenceTimeout, std::nullopt, fleet.now + silenceTimeout};
     }
 
-    /// Those that read with success, by their own word.
+    /// The routers that report that they read the registry successfully.
     [[nodiscard]] auto readers() -> std::vector<std::size_t>
     {
         std::vector<std::size_t> reading;
         for (std::size_t i = 0; i < routers_.size(); ++i) {
-            if (routers_[i].readers.reads() && !fleet.isSilent(i) && ownWord(i))
+            if (routers_[i].readers.reads() && !fleet.isSilent(i) && ownReport(i))
                 reading.push_back(i);
         }
         return reading;
     }
 
-    /// Every router that is neither cut off nor silent has the newest revision.
+    /// Whether every router that is neither cut off nor silent has the latest revision.
     [[nodiscard]] auto isInForce() const -> bool
     {
         for (std::size_t i = 0; i < routers_.size(); ++i) {
@@ -71,8 +75,8 @@
         return true;
     }
 
-    /// How long a change made now takes to be in force; at most `limit`.
-    auto changeTakes(Duration limit) -> std::chrono::milliseconds
+    /// Makes a change and returns how long it takes to be in force; stops waiting after `limit`.
+    auto timeToApplyChange(Duration limit) -> std::chrono::milliseconds
     {
         change();
         const auto from = fleet.now;
@@ -82,12 +86,12 @@
     }
 
     PeerFleet fleet;
-    std::size_t calls = 0; ///< That reached the registry.
+    std::size_t calls = 0; ///< Calls that reached the registry.
 
 private:
     struct Call
     {
-        Instant until; ///< Answered then without a change.
+        Instant until; ///< When the call is answered without a change.
         std::optional<Instant> answer;
         std::optional<Instant> fails;
     };
@@ -100,26 +104,26 @@
 
         direct::RegistryReaders readers;
         std::optional<Call> call;
-        std::optional<Instant> callsAt;
-        std::optional<Instant> fetchedAt;
+        std::optional<Instant> nextCallAt;
+        std::optional<Instant> fetchDoneAt;
         std::uint64_t revision = 1;
-        std::uint64_t heardRevision = 1;
+        std::uint64_t peerRevision = 1;
         bool isCut = false;
         bool reachable = true;
         bool hasWatched = false;
-        bool tellsNextAnswer = false;
+        bool announcesNextAnswer = false;
     };
 
     static constexpr Duration answerTime = std::chrono::milliseconds(4);
-    // A connection that went silent is given up by its keep-alive probes.
-    static constexpr Duration silenceSeen = std::chrono::seconds(3);
-    static constexpr Duration noConnection = std::chrono::milliseconds(500);
-    static constexpr Duration retryPause = std::chrono::milliseconds(600);
+    // Time until keep-alive probes close a connection that went silent.
+    static constexpr Duration silenceTimeout = std::chrono::seconds(3);
+    static constexpr Duration connectTimeout = std::chrono::milliseconds(500);
+    static constexpr Duration retryDelay = std::chrono::milliseconds(600);
     static constexpr Duration watchSpacing = std::chrono::milliseconds(100);
-    static constexpr Duration firstWatchAfter = std::chrono::milliseconds(600);
+    static constexpr Duration firstWatchDelay = std::chrono::milliseconds(600);
     static constexpr Duration fetchTime = std::chrono::milliseconds(10);
 
-    auto ownWord(std::size_t router) -> std::optional<direct::ReaderWord>
+    auto ownReport(std::size_t router) -> std::optional<direct::ReaderWord>
     {
         const auto &each = routers_[router];
         if (!each.readers.reads() || !each.reachable)
@@ -130,29 +134,29 @@
     auto fill(std::size_t router, PeerDigest &digest) -> void
     {
         digest.revision = routers_[router].revision;
-        const auto &book = fleet.table(router).readerBook();
-        digest.readers = book.told(ownWord(router), fleet.now);
+        const auto &tracker = fleet.table(router).readerBook();
+        digest.readers = tracker.told(ownReport(router), fleet.now);
     }
 
     auto tick(std::size_t router) -> void
     {
         auto &each = routers_[router];
-        auto &book = fleet.table(router).readerBook();
+        auto &tracker = fleet.table(router).readerBook();
         if (!each.readers.reads())
-            book.setAsideWhenQuiet(quietFor_, fleet.now);
+            tracker.setAsideWhenQuiet(maxQuietTime_, fleet.now);
         direct::HeardRanks heard;
-        for (const auto &reader : book.readers(fleet.now))
+        for (const auto &reader : tracker.readers(fleet.now))
             heard.reading.push_back(direct::readerRank(reader.router));
         for (const auto &peer : fleet.table(router).alive(fleet.now))
             heard.alive.push_back(direct::readerRank(peer.address));
-        const auto before = each.readers.reads();
+        const auto didRead = each.readers.reads();
         const auto reads = each.readers.decide(heard, fleet.now);
-        if (reads && !before) {
-            each.tellsNextAnswer = heard.reading.empty();
-            if (!each.call && !each.callsAt)
+        if (reads && !didRead) {
+            each.announcesNextAnswer = heard.reading.empty();
+            if (!each.call && !each.nextCallAt)
                 call(router, direct::RegistryReaders::proofWait);
         }
-        if (!reads && before)
+        if (!reads && didRead)
             each.reachable = true;
         advance(router);
         catchUp(router);
@@ -161,10 +165,10 @@
     auto call(std::size_t router, Duration wait) -> void
     {
         auto &each = routers_[router];
-        each.callsAt.reset();
+        each.nextCallAt.reset();
         const auto now = fleet.now;
         if (each.isCut) {
-            each.call = Call{now + noConnection, std::nullopt, now + noConnection};
+            each.call = Call{now + connectTimeout, std::nullopt, now + connectTimeout};
             return;
         }
         ++calls;
@@ -173,7 +177,7 @@
             each.call->answer = now + answerTime;
     }
 
-    /// Ends calls that are answered or fail, and begins those that are due.
+    /// Ends calls that are answered or fail, and starts calls that are due.
     auto advance(std::size_t router) -> void
     {
         auto &each = routers_[router];
@@ -181,19 +185,19 @@
         if (each.call && each.call->fails && *each.call->fails <= now) {
             each.call.reset();
             each.reachable = false;
-            each.callsAt = now + retryPause + each.readers.delay();
+            each.nextCallAt = now + retryDelay + each.readers.delay();
         } else if (each.call && !each.call->fails) {
             const auto changed = each.call->answer && *each.call->answer <= now;
             if (changed || each.call->until <= now)
                 answered(router, changed);
         }
-        if (!each.callsAt || *each.callsAt > now)
+        if (!each.nextCallAt || *each.nextCallAt > now)
             return;
         if (each.readers.reads())
             call(router,
                  each.hasWatched ? fleet.table(router).readerBook().nextWatch(now) : Duration(0));
         else
-            each.callsAt.reset();
+            each.nextCallAt.reset();
     }
 
     auto answered(std::size_t router, bool changed) -> void
@@ -201,38 +205,38 @@
         auto &each = routers_[router];
         each.call.reset();
         each.reachable = true;
-        each.callsAt = fleet.now + (changed ? watchSpacing : Duration(0));
+        each.nextCallAt = fleet.now + (changed ? watchSpacing : Duration(0));
         if (!std::exchange(each.hasWatched, true))
-            each.callsAt = fleet.now + firstWatchAfter;
+            each.nextCallAt = fleet.now + firstWatchDelay;
         fleet.table(router).readerBook().beat(fleet.now);
         each.revision = std::max(each.revision, revision_);
-        const auto toAll = changed || std::exchange(each.tellsNextAnswer, false);
+        const auto toAll = changed || std::exchange(each.announcesNextAnswer, false);
         fleet.send(router, toAll ? PeerFleet::Send::ToAll : PeerFleet::Send::Brief);
     }
 
-    auto heard(std::size_t router, const PeerDigest &digest) -> void
+    auto received(std::size_t router, const PeerDigest &digest) -> void
     {
-        auto &newest = routers_[router].heardRevision;
-        newest = std::max(newest, digest.revision);
+        auto &latest = routers_[router].peerRevision;
+        latest = std::max(latest, digest.revision);
         for (const auto &reader : digest.readers)
-            newest = std::max(newest, reader.revision);
+            latest = std::max(latest, reader.revision);
         catchUp(router);
     }
 
     auto catchUp(std::size_t router) -> void
     {
         auto &each = routers_[router];
-        if (each.heardRevision <= each.revision)
-            return each.fetchedAt.reset();
-        if (!each.fetchedAt)
-            each.fetchedAt = fleet.now + fetchTime;
-        if (*each.fetchedAt > fleet.now)
+        if (each.peerRevision <= each.revision)
+            return each.fetchDoneAt.reset();
+        if (!each.fetchDoneAt)
+            each.fetchDoneAt = fleet.now + fetchTime;
+        if (*each.fetchDoneAt > fleet.now)
             return;
-        each.fetchedAt.reset();
-        each.revision = each.heardRevision;
+        each.fetchDoneAt.reset();
+        each.revision = each.peerRevision;
     }
 
-    Duration quietFor_;
+    Duration maxQuietTime_;
     std::vector<Router> routers_;
     std::uint64_t revision_ = 1;
 };
--- a/test/gateway/retries-test.cc
+++ b/test/gateway/retries-test.cc
@@ -10,19 +10,21 @@
 using namespace applehatch::gateway;
 using namespace applehatch::gateway::testing;
 
-/// Two upstreams with the same script; `runs` counts what reached either.
+/// Two upstreams with the same script; `runs` counts the requests that reached either of them.
 struct TwoUpstreams
 {
-    using Script = std::function<void(UpstreamSide &, const std::string &request, int run)>;
+    using Script = std::function<void(ScriptedConnection &, const std::string &request, int run)>;
 
     explicit TwoUpstreams(Script script)
         : script_(std::move(script))
-        , first(loop, "first", [this](auto &side, const auto &text) { run(side, text); })
-        , second(loop, "second", [this](auto &side, const auto &text) { run(side, text); })
+        , first(loop, "first",
+                [this](auto &connection, const auto &text) { run(connection, text); })
+        , second(loop, "second",
+                 [this](auto &connection, const auto &text) { run(connection, text); })
         , gateway(loop)
     {
-        gateway.tell(testConfiguration(), {first.entry("pool"), second.entry("pool")});
-        // A process that just started has no share of the extra tries yet.
+        gateway.applyRegistry(testConfiguration(), {first.entry("pool"), second.entry("pool")});
+        // A newly started process has no share of the extra retries yet.
         gateway.host.dispatcher().setRetryLimits({5.0, std::chrono::seconds(10), 0});
     }
 
@@ -30,9 +32,9 @@
     int runs = 0;
 
 private:
-    auto run(UpstreamSide &side, const std::string &request) -> void
+    auto run(ScriptedConnection &connection, const std::string &request) -> void
     {
-        script_(side, request, ++runs);
+        script_(connection, request, ++runs);
     }
 
     Script script_;
@@ -47,67 +49,69 @@
 
 BOOST_AUTO_TEST_SUITE(gateway_retries)
 
-// The first upstream breaks off before it answers. A request that may be repeated goes to the other
-// one, and its caller notices nothing.
+// The first upstream resets the connection before it answers. A request that may be repeated is
+// sent to the other upstream, and its caller notices nothing.
 BOOST_AUTO_TEST_CASE(a_safe_request_is_repeated_elsewhere)
 {
-    TwoUpstreams world([](UpstreamSide &side, const std::string &request, int run) {
+    TwoUpstreams world([](ScriptedConnection &connection, const std::string &request, int run) {
         if (run == 1)
-            return side.reset();
-        side.send(plainAnswer(request, "served"));
+            return connection.reset();
+        connection.send(plainAnswer(request, "served"));
     });
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/safe/a", "r1"));
-    BOOST_TEST(caller.gets("served"));
+    BOOST_TEST(caller.receives("served"));
     BOOST_TEST(world.first.requests().size() == 1);
     BOOST_TEST(world.second.requests().size() == 1);
 }
 
-// The same for a request that runs at most once: it may have run, so it is not sent again, and the
-// caller is promised nothing.
+// The upstream resets the connection of a request that runs at most once. The request may have run,
+// so it is not sent again, and the answer does not say that it did not run.
 BOOST_AUTO_TEST_CASE(a_request_that_may_have_run_is_not_repeated)
 {
-    TwoUpstreams world([](UpstreamSide &side, const std::string &, int) { side.reset(); });
+    TwoUpstreams world(
+        [](ScriptedConnection &connection, const std::string &, int) { connection.reset(); });
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/once/a", "r1"));
-    BOOST_TEST(caller.gets("HTTP/1.1 502"));
+    BOOST_TEST(caller.receives("HTTP/1.1 502"));
     BOOST_TEST(world.runs == 1);
 }
 
-// An upstream says that it did not run the request. Its route allows one upstream, so the caller is
-// told at once that it did not run and when to come back.
-BOOST_AUTO_TEST_CASE(a_refused_request_is_told_when_to_come_back)
+// An upstream says that it did not run the request. The route allows one attempt, so the caller is
+// told at once that the request did not run and when to retry.
+BOOST_AUTO_TEST_CASE(a_refused_request_is_told_when_to_retry)
 {
-    TwoUpstreams world([](UpstreamSide &side, const std::string &request, int) {
-        side.send("HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nRequest-Id: "
-                  + headerOf(request, "Request-Id") + "\r\nContent-Length: 0\r\n\r\n");
+    TwoUpstreams world([](ScriptedConnection &connection, const std::string &request, int) {
+        connection.send("HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nRequest-Id: "
+                        + headerOf(request, "Request-Id") + "\r\nContent-Length: 0\r\n\r\n");
     });
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/once/a", "r1"));
-    BOOST_TEST(caller.gets("HTTP/1.1 503"));
+    BOOST_TEST(caller.receives("HTTP/1.1 503"));
     const auto wait = std::stod(headerOf(caller.received, "Retry-After"));
     BOOST_TEST(wait > 0);
     BOOST_TEST(wait < 1);
     BOOST_TEST(world.runs == 1);
 }
 
-// An upstream breaks off a resumable stream in the middle of an event. Another goes on after the
-// last whole event, within the same answer; the caller sees each piece once.
+// An upstream breaks off a resumable stream in the middle of an event. Another upstream continues
+// after the last complete event, within the same answer; the caller gets each event once.
 BOOST_AUTO_TEST_CASE(a_resumable_stream_goes_on_at_another_upstream)
 {
-    TwoUpstreams world([](UpstreamSide &side, const std::string &request, int run) {
+    TwoUpstreams world([](ScriptedConnection &connection, const std::string &request, int run) {
         if (run == 1) {
-            side.send(streamHead(request) + eventChunk(1) + eventChunk(2)
-                      + chunkText("id: 3\ndata: pie"));
-            return side.close();
+            connection.send(streamHead(request) + eventChunk(1) + eventChunk(2)
+                            + chunkText("id: 3\ndata: pie"));
+            return connection.close();
         }
         BOOST_TEST(headerOf(request, "Last-Event-ID") == "2");
-        side.send(streamHead(request) + eventChunk(3) + eventChunk(4) + std::string(lastChunk));
+        connection.send(streamHead(request) + eventChunk(3) + eventChunk(4)
+                        + std::string(lastChunk));
     });
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/resume/a", "r1"));
-    BOOST_TEST(caller.gets("piece-4"));
-    BOOST_TEST(caller.gets(std::string(lastChunk)));
+    BOOST_TEST(caller.receives("piece-4"));
+    BOOST_TEST(caller.receives(std::string(lastChunk)));
     std::string pieces;
     for (auto at = caller.received.find("data: "); at != std::string::npos;
          at = caller.received.find("data: ", at + 1))
@@ -116,86 +120,88 @@
     BOOST_TEST(caller.received.find("HTTP/1.1", 1) == std::string::npos);
 }
 
-// The upstream that goes on sends events that the caller already has. Joined to the first part the
-// caller would read pieces twice; the answer breaks off instead.
+// The upstream that resumes a stream sends events that the caller already has. If they were
+// relayed, the caller would read them twice; the answer breaks off instead.
 BOOST_AUTO_TEST_CASE(a_stream_that_goes_back_is_not_joined)
 {
-    TwoUpstreams world([](UpstreamSide &side, const std::string &request, int run) {
-        side.send(streamHead(request) + eventChunk(1) + eventChunk(2));
+    TwoUpstreams world([](ScriptedConnection &connection, const std::string &request, int run) {
+        connection.send(streamHead(request) + eventChunk(1) + eventChunk(2));
         if (run == 1)
-            return side.close();
-        side.send(std::string(lastChunk));
+            return connection.close();
+        connection.send(std::string(lastChunk));
     });
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/resume/a", "r1"));
-    BOOST_TEST(caller.seesEnd());
+    BOOST_TEST(caller.seesClose());
     BOOST_TEST(!caller.received.ends_with(lastChunk));
 }
 
-// The only upstream ran a request and answered 500; there is none to repeat it at. The caller gets
-// that answer: a refusal would say that the request had not run.
+// The only upstream ran a request and answered 500; there is no other upstream for a retry. The
+// caller gets that answer, since a refusal would say that the request had not run.
 BOOST_AUTO_TEST_CASE(an_answer_is_not_given_up_for_a_retry_that_cannot_be)
 {
-    TwoUpstreams world([](UpstreamSide &side, const std::string &request, int) {
-        side.send("HTTP/1.1 500 Broken\r\nRan-By: proof\r\nRequest-Id: "
-                  + headerOf(request, "Request-Id") + "\r\nContent-Length: 4\r\n\r\noops");
+    TwoUpstreams world([](ScriptedConnection &connection, const std::string &request, int) {
+        connection.send("HTTP/1.1 500 Broken\r\nRan-By: proof\r\nRequest-Id: "
+                        + headerOf(request, "Request-Id") + "\r\nContent-Length: 4\r\n\r\noops");
     });
-    world.gateway.tell(testConfiguration(2), {world.first.entry("pool")});
+    world.gateway.applyRegistry(testConfiguration(2), {world.first.entry("pool")});
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/safe/a", "r1"));
-    BOOST_TEST(caller.gets("oops"));
+    BOOST_TEST(caller.receives("oops"));
     BOOST_TEST(caller.received.starts_with("HTTP/1.1 500"));
     BOOST_TEST(headerOf(caller.received, "Ran-By") == "proof");
 }
 
-// The same where the upstream broke off: the request may have run, so the final answer promises
-// nothing, also when the next upstream cannot be reached or there is none.
+// The upstream resets the connection and there is no other upstream, or none that can be reached.
+// The request may have run, so the final answer must not say that it did not.
 BOOST_AUTO_TEST_CASE(a_request_that_may_have_run_is_never_said_not_to_have)
 {
     for (const auto hasOther : {false, true}) {
-        TwoUpstreams world([](UpstreamSide &side, const std::string &, int) { side.reset(); });
+        TwoUpstreams world(
+            [](ScriptedConnection &connection, const std::string &, int) { connection.reset(); });
         auto upstreams = direct::UpstreamList{world.first.entry("pool")};
         if (hasOther) {
             upstreams.push_back(world.second.entry("pool"));
-            upstreams.back().slots = 1; // Fuller for its slots, so the first is asked first.
+            upstreams.back().slots =
+                1; // Higher load per slot, so the first upstream is tried first.
             world.gateway.host.dispatcher().loads().noteReport(upstreams.back().id, 1, 0,
                                                                telemetry::steadyNow());
             world.second.closeListener();
         }
-        world.gateway.tell(testConfiguration(2), upstreams);
+        world.gateway.applyRegistry(testConfiguration(2), upstreams);
         auto caller = world.gateway.caller();
         caller.send(testing::requestText("/safe/a", "r1"));
-        BOOST_TEST(caller.gets("HTTP/1.1 502"));
+        BOOST_TEST(caller.receives("HTTP/1.1 502"));
         BOOST_TEST(world.runs == 1);
     }
 }
 
-// An upstream takes a request and never answers, while its connection stays open. A request that
-// may be repeated is taken elsewhere long before its deadline.
-BOOST_AUTO_TEST_CASE(a_silent_upstream_is_left)
+// An upstream accepts a request and never answers, while its connection stays open. A request that
+// may be repeated is sent to another upstream long before its deadline.
+BOOST_AUTO_TEST_CASE(a_silent_upstream_is_abandoned)
 {
-    TwoUpstreams world([](UpstreamSide &side, const std::string &request, int run) {
+    TwoUpstreams world([](ScriptedConnection &connection, const std::string &request, int run) {
         if (run > 1)
-            side.send(plainAnswer(request, "served"));
+            connection.send(plainAnswer(request, "served"));
     });
     auto caller = world.gateway.caller();
     caller.send(testing::requestText("/safe/a", "r1", "Time-Left-Ms: 10000\r\n"));
-    BOOST_TEST(caller.gets("served"));
+    BOOST_TEST(caller.receives("served"));
     BOOST_TEST(world.runs == 2);
 }
 
-// An upstream's host takes no connections. Nothing was sent, so even a request that runs at most
-// once may go to another upstream.
-BOOST_AUTO_TEST_CASE(an_unreachable_upstream_costs_no_request)
+// An upstream's host accepts no connections. Nothing was sent, so even a request that runs at most
+// once may be sent to another upstream.
+BOOST_AUTO_TEST_CASE(an_unreachable_upstream_fails_no_request)
 {
-    TwoUpstreams world([](UpstreamSide &side, const std::string &request, int) {
-        side.send(plainAnswer(request, "served"));
+    TwoUpstreams world([](ScriptedConnection &connection, const std::string &request, int) {
+        connection.send(plainAnswer(request, "served"));
     });
     world.first.closeListener();
     for (int i = 0; i < 6; ++i) {
         auto caller = world.gateway.caller();
         caller.send(testing::requestText("/once/a", "r" + std::to_string(i)));
-        BOOST_TEST(caller.gets("served"));
+        BOOST_TEST(caller.receives("served"));
     }
 }
 
--- a/test/gateway/streams-test.cc
+++ b/test/gateway/streams-test.cc
@@ -23,8 +23,8 @@
 
 constexpr std::size_t streams = 300;
 constexpr std::size_t openings = 20;
-constexpr int events = 240; // 6 s each.
-constexpr auto eventPeriod = 25ms;
+constexpr int events = 240; // 6 s per stream.
+constexpr auto eventInterval = 25ms;
 
 /// Runs a loop until it is destroyed.
 class LoopThread
@@ -43,15 +43,15 @@
     std::jthread thread_;
 };
 
-/// An engine that streams an event each 25 ms to whoever asks.
+/// An engine that answers each request with a stream of one event every 25 ms.
 class StreamingUpstream
 {
 public:
     StreamingUpstream(asio::io_context &loop, std::string name)
         : upstream_(loop, std::move(name),
-                    [this](UpstreamSide &side, const std::string &request) {
-                        side.send(streamHead(request));
-                        running_.push_back({side.shared_from_this(), Clock::now(), 0});
+                    [this](ScriptedConnection &connection, const std::string &request) {
+                        connection.send(streamHead(request));
+                        running_.push_back({connection.shared_from_this(), Clock::now(), 0});
                     })
         , timer_(loop)
     {
@@ -68,7 +68,7 @@
 private:
     struct Running
     {
-        std::shared_ptr<UpstreamSide> side;
+        std::shared_ptr<ScriptedConnection> connection;
         Clock::time_point begun;
         int sent = 0;
     };
@@ -87,7 +87,7 @@
 
     static auto sendDue(Running &stream) -> void
     {
-        const auto due = 1 + static_cast<int>((Clock::now() - stream.begun) / eventPeriod);
+        const auto due = 1 + static_cast<int>((Clock::now() - stream.begun) / eventInterval);
         std::string text;
         while (stream.sent < std::min(due, events)) {
             ++stream.sent;
@@ -96,7 +96,7 @@
         if (stream.sent == events)
             text += lastChunk;
         if (!text.empty())
-            stream.side->send(std::move(text));
+            stream.connection->send(std::move(text));
     }
 
     ScriptedUpstream upstream_;
@@ -124,42 +124,43 @@
     return configuration;
 }
 
-auto isUnderWay(const std::unique_ptr<Caller> &caller) -> bool
+auto isInProgress(const std::unique_ptr<Caller> &caller) -> bool
 {
     return !caller->received.ends_with(lastChunk) && !caller->ended;
 }
 
-/// One gateway before two upstreams, each on a thread of its own; callers run on the test's.
+/// One gateway in front of two upstreams. The gateway and the upstreams run on a thread each, the
+/// callers on the test's thread.
 class StreamWorld
 {
 public:
-    /// `eventPause`: the longest that the route expects between two events.
+    /// `eventPause` is the longest time that the route expects between two events.
     explicit StreamWorld(Duration eventPause)
-        : one_(upstreamLoop_, "one")
-        , other_(upstreamLoop_, "other")
+        : first_(upstreamLoop_, "one")
+        , second_(upstreamLoop_, "other")
         , gateway(gatewayLoop_)
     {
-        gateway.tell(streamConfiguration(eventPause), {one_.entry(), other_.entry()});
-        runsUpstream_.emplace(upstreamLoop_);
-        runsGateway_.emplace(gatewayLoop_);
+        gateway.applyRegistry(streamConfiguration(eventPause), {first_.entry(), second_.entry()});
+        upstreamThread_.emplace(upstreamLoop_);
+        gatewayThread_.emplace(gatewayLoop_);
     }
 
-    /// Opens a stream; gives the time to its first event.
+    /// Opens a stream and returns the time until its first event.
     auto open() -> milliseconds
     {
         const auto begun = Clock::now();
         request();
-        BOOST_TEST(callers.back()->gets("piece-1\n"));
+        BOOST_TEST(callers.back()->receives("piece-1\n"));
         return std::chrono::duration_cast<milliseconds>(Clock::now() - begun);
     }
 
-    /// Opens so many streams together and waits for the first event of each.
+    /// Opens `count` streams together and waits for the first event of each.
     auto openTogether(std::size_t count) -> void
     {
         for (std::size_t number = 0; number < count; ++number)
             request();
         for (const auto &caller : callers)
-            BOOST_TEST(caller->gets("piece-1\n"));
+            BOOST_TEST(caller->receives("piece-1\n"));
     }
 
     auto onGateway(std::function<void()> task) -> void
@@ -167,20 +168,20 @@
         asio::post(gatewayLoop_, std::move(task));
     }
 
-    /// What an operator scrapes.
+    /// Returns the metrics as an operator scrapes them.
     auto metrics() -> std::string { return scrape(loop_, gateway); }
 
-    [[nodiscard]] auto underWay() const -> std::ptrdiff_t
+    [[nodiscard]] auto inProgress() const -> std::ptrdiff_t
     {
-        return std::count_if(callers.begin(), callers.end(), isUnderWay);
+        return std::count_if(callers.begin(), callers.end(), isInProgress);
     }
 
-    /// Reads each stream to its end.
-    auto expectWhole() -> void
+    /// Reads each stream to its end and checks that it is complete.
+    auto expectComplete() -> void
     {
         std::size_t cut = 0;
         for (const auto &caller : callers) {
-            runUntil(loop_, [&] { return !isUnderWay(caller); });
+            runUntil(loop_, [&] { return !isInProgress(caller); });
             const auto last = "piece-" + std::to_string(events) + '\n';
             const auto whole = caller->received.find(last) != std::string::npos
                 && caller->received.ends_with(lastChunk);
@@ -200,25 +201,25 @@
     asio::io_context upstreamLoop_{1};
     asio::io_context gatewayLoop_{1};
     asio::io_context loop_{1};
-    StreamingUpstream one_;
-    StreamingUpstream other_;
+    StreamingUpstream first_;
+    StreamingUpstream second_;
 
 public:
     Gateway gateway;
     std::vector<std::unique_ptr<Caller>> callers;
 
 private:
-    std::optional<LoopThread> runsUpstream_;
-    std::optional<LoopThread> runsGateway_;
+    std::optional<LoopThread> upstreamThread_;
+    std::optional<LoopThread> gatewayThread_;
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(gateway_streams)
 
-// Guards against new streams that wait for their first event behind running ones, and against a
-// stop that cuts running ones.
-BOOST_AUTO_TEST_CASE(three_hundred_streams_hold_up_no_new_one_and_are_not_cut_by_a_stop)
+// Guards against new streams whose first event waits behind running streams, and against a stop
+// that cuts running streams.
+BOOST_AUTO_TEST_CASE(three_hundred_streams_delay_no_new_stream_and_survive_a_stop)
 {
     StreamWorld world(5s);
     world.openTogether(streams);
@@ -227,23 +228,23 @@
         times.push_back(world.open());
     std::sort(times.begin(), times.end());
     world.onGateway([&] { world.gateway.host.stop(); });
-    const auto underWay = world.underWay();
+    const auto inProgress = world.inProgress();
     BOOST_TEST_MESSAGE("first event after " << times[openings / 2].count() << " ms, at most "
-                                            << times.back().count() << " ms; " << underWay
+                                            << times.back().count() << " ms; " << inProgress
                                             << " under way at the stop");
     BOOST_TEST(times.back().count() < 1000);
-    BOOST_TEST(underWay > static_cast<std::ptrdiff_t>(streams / 2));
-    world.expectWhole();
+    BOOST_TEST(inProgress > static_cast<std::ptrdiff_t>(streams / 2));
+    world.expectComplete();
 }
 
-// Guards against a gateway that takes its own hold-up for the silence of its upstreams.
+// Guards against a gateway that mistakes its own stall for silence of its upstreams.
 BOOST_AUTO_TEST_CASE(a_gateway_that_was_held_up_blames_no_upstream)
 {
-    for (const auto heldUp : {1s, 4s}) {
+    for (const auto stall : {1s, 4s}) {
         StreamWorld world(100ms);
         world.openTogether(streams);
-        world.onGateway([heldUp] { std::this_thread::sleep_for(heldUp); });
-        world.expectWhole();
+        world.onGateway([stall] { std::this_thread::sleep_for(stall); });
+        world.expectComplete();
         BOOST_TEST(world.metrics().find("event=\"upstream-silent\"") == std::string::npos);
     }
 }
--- a/test/platform/decoder-test.cc
+++ b/test/platform/decoder-test.cc
@@ -39,7 +39,7 @@
              "config-ms": 4000},
   "platform": {"addr": "10.9.0.1:8223"}})";
 
-auto held(const std::string &value, std::uint64_t revision) -> direct::HeldItem
+auto heldItem(const std::string &value, std::uint64_t revision) -> direct::HeldItem
 {
     return {value, revision, std::nullopt};
 }
@@ -61,7 +61,7 @@
     BOOST_TEST((route->timeout == 15s));
     BOOST_TEST((route->eventPause == 250ms));
     BOOST_TEST(route->targets.size() == 2);
-    // A kind that is not known allows least: it runs at most once.
+    // A route of an unknown type gets the most restrictive kind: a request runs at most once.
     BOOST_TEST((configuration->findRoute("a.example", "/y/1")->kind == RouteKind::Unsafe));
     BOOST_TEST(configuration->services.at("pool").sharesContexts);
     BOOST_TEST(configuration->services.at("pool").memoryTokens == 90000U);
@@ -70,9 +70,9 @@
     BOOST_TEST(configuration->findCustomer("k1")->priority.value() == 0);
 }
 
-// Entries of other writers, with fields missing or of another type, name no upstream; the others
-// hold. A router that failed on one would serve nobody.
-BOOST_AUTO_TEST_CASE(unusable_entries_are_passed_over)
+// Guards against a router that serves nobody because one entry of another writer is unusable.
+// Entries with fields missing or of another type are skipped; the others stay valid.
+BOOST_AUTO_TEST_CASE(unusable_entries_are_skipped)
 {
     const std::vector<std::string> unusable{
         "",
@@ -88,18 +88,20 @@
         R"({"service":"pool","addr":"10.0.0.9:8080","zone":"east","slots":64,"state":"ready","born":1.5})",
     };
     std::map<std::string, direct::HeldItem> items;
-    items["servers/good"] = held(upstreamText, 1);
+    items["servers/good"] = heldItem(upstreamText, 1);
     for (std::size_t i = 0; i < unusable.size(); ++i)
-        items["servers/bad-" + std::to_string(i)] = held(unusable[i], 2);
+        items["servers/bad-" + std::to_string(i)] = heldItem(unusable[i], 2);
     DirectoryDecoder decoder;
     const auto decoded = decoder(items);
     BOOST_TEST(decoded.upstreams.size() == 1);
     BOOST_TEST(decoded.problems.size() == unusable.size());
-    BOOST_TEST(decoder(items).problems.empty()); // Told once, not at each change of another entry.
+    BOOST_TEST(
+        decoder(items).problems.empty()); // Reported once, not at each change of another entry.
 }
 
-// An engine starts again under its name. What was known of its earlier life must not count for it.
-BOOST_AUTO_TEST_CASE(a_new_life_is_another_upstream)
+// An engine restarts under the same name. State recorded for its earlier incarnation must not apply
+// to the new one.
+BOOST_AUTO_TEST_CASE(a_restarted_engine_is_a_different_upstream)
 {
     std::string problem;
     auto later = upstreamText;
@@ -117,21 +119,21 @@
     auto leaving = upstreamText;
     leaving.replace(leaving.find("ready"), 5, "draining");
     std::map<std::string, direct::HeldItem> items;
-    items["servers/a"] = held(leaving, 1);
+    items["servers/a"] = heldItem(leaving, 1);
     items["servers/b"] = {upstreamText, 2, direct::Instant(5s)};
     const auto decoded = DirectoryDecoder()(items);
     BOOST_TEST((decoded.upstreams.at(0).state == UpstreamState::Leaving));
     BOOST_TEST((decoded.upstreams.at(1).state == UpstreamState::Doubtful));
 }
 
-// A configuration that cannot be read must not take the one in force away.
-BOOST_AUTO_TEST_CASE(an_unreadable_configuration_leaves_the_last_one)
+// A configuration that cannot be parsed must not replace the one in force.
+BOOST_AUTO_TEST_CASE(an_unreadable_configuration_keeps_the_last_one)
 {
     DirectoryDecoder decoder;
     std::map<std::string, direct::HeldItem> items;
-    items["op/config"] = held(configurationText, 1);
+    items["op/config"] = heldItem(configurationText, 1);
     BOOST_TEST(decoder(items).configuration->version == 7);
-    items["op/config"] = held("{", 2);
+    items["op/config"] = heldItem("{", 2);
     const auto decoded = decoder(items);
     BOOST_TEST(decoded.configuration->version == 7);
     BOOST_TEST(decoded.problems.size() == 1);
--- a/test/platform/registry-client-test.cc
+++ b/test/platform/registry-client-test.cc
@@ -48,21 +48,23 @@
     return R"({"events":[)" + list + R"(],"current-rev":)" + std::to_string(revision) + "}";
 }
 
-/// A stand-in for the platform's store; `script` answers the calls of a client, in order.
+/// A fake of the platform's registry and a client that reads it; `script` answers the client's
+/// calls in order.
 class Store
 {
 public:
-    using Script = std::function<void(UpstreamSide &, const std::string &call, std::size_t number)>;
+    using Script =
+        std::function<void(ScriptedConnection &, const std::string &call, std::size_t number)>;
 
     explicit Store(Script script)
         : script_(std::move(script))
-        , side(loop, "store",
-               [this](UpstreamSide &one, const std::string &request) {
-                   script_(one, request, calls.size());
-                   calls.push_back(request.substr(0, request.find(" HTTP")));
-               })
+        , server(loop, "store",
+                 [this](ScriptedConnection &connection, const std::string &request) {
+                     script_(connection, request, calls.size());
+                     calls.push_back(request.substr(0, request.find(" HTTP")));
+                 })
         , gateway(loop, settings(), platform::platformVocabulary(), platform::DirectoryDecoder())
-        , client(loop, gateway, side.entry("store").address)
+        , client(loop, gateway, server.entry("store").address)
     {
         client.start();
     }
@@ -70,8 +72,8 @@
     auto hasVersion(std::uint64_t version) -> bool
     {
         return runUntil(loop, [&] {
-            const auto &held = gateway.dispatcher().configuration();
-            return held && held->version == version;
+            const auto &configuration = gateway.dispatcher().configuration();
+            return configuration && configuration->version == version;
         });
     }
 
@@ -89,7 +91,7 @@
     Script script_;
 
 public:
-    ScriptedUpstream side;
+    ScriptedUpstream server;
     gateway::GatewayHost gateway;
     RegistryClient client;
 };
@@ -105,14 +107,15 @@
 
 BOOST_AUTO_TEST_SUITE(registry_client)
 
-// The store tells of a change as soon as there is one; it takes one waiting call, not a poll.
-BOOST_AUTO_TEST_CASE(a_change_comes_by_a_waiting_watch)
+// The registry answers a waiting watch as soon as there is a change, so one long-poll call replaces
+// repeated polling.
+BOOST_AUTO_TEST_CASE(a_change_arrives_through_a_long_poll)
 {
-    Store store([](UpstreamSide &side, const std::string &call, std::size_t number) {
+    Store store([](ScriptedConnection &connection, const std::string &call, std::size_t number) {
         if (isRange(call))
-            return side.send(answer("200 OK", page(item(versionOne, 5), 7)));
+            return connection.send(answer("200 OK", page(item(versionOne, 5), 7)));
         if (number == 1)
-            side.send(answer("200 OK", events(item(versionTwo, 9), 9)));
+            connection.send(answer("200 OK", events(item(versionTwo, 9), 9)));
     });
     BOOST_TEST(store.hasVersion(2));
     BOOST_TEST(runUntil(store.loop, [&] { return store.calls.size() == 3; }));
@@ -120,16 +123,16 @@
     BOOST_TEST(store.calls.at(2).find("after=9&") != std::string::npos);
 }
 
-// Dozens of upstreams start at once, and the store has a change for each call. Calls are limited
-// over the whole fleet: one brings what would take several, and no more than ten a second are made.
+// Dozens of upstreams start at once, and the registry has a change for each call. Calls are limited
+// over the whole fleet, so one call brings several changes and at most ten calls a second are made.
 BOOST_AUTO_TEST_CASE(changes_in_quick_succession_share_calls)
 {
     int revision = 7;
-    Store store([&](UpstreamSide &side, const std::string &call, std::size_t) {
+    Store store([&](ScriptedConnection &connection, const std::string &call, std::size_t) {
         if (isRange(call))
-            return side.send(answer("200 OK", page(item(versionOne, 5), revision)));
+            return connection.send(answer("200 OK", page(item(versionOne, 5), revision)));
         ++revision;
-        side.send(answer("200 OK", events(item(versionTwo, revision), revision)));
+        connection.send(answer("200 OK", events(item(versionTwo, revision), revision)));
     });
     BOOST_TEST(store.hasVersion(2));
     const auto before = store.calls.size();
@@ -139,16 +142,16 @@
     BOOST_TEST(store.calls.size() - before <= 6U);
 }
 
-// The list is longer than a page. What is read is all pages, watched from the first one's revision,
-// so that no change between two pages is missed.
+// The list is longer than a page. All pages are read, and the watch starts from the revision of the
+// first page, so that no change between two pages is missed.
 BOOST_AUTO_TEST_CASE(all_pages_are_read)
 {
-    Store store([](UpstreamSide &side, const std::string &call, std::size_t number) {
+    Store store([](ScriptedConnection &connection, const std::string &call, std::size_t number) {
         if (!isRange(call))
             return;
         const auto other = std::string(R"({"key":"a/x","value":"","revision":1})");
-        side.send(number == 0 ? answer("200 OK", page(other, 7, true))
-                              : answer("200 OK", page(item(versionOne, 5), 8)));
+        connection.send(number == 0 ? answer("200 OK", page(other, 7, true))
+                                    : answer("200 OK", page(item(versionOne, 5), 8)));
     });
     BOOST_TEST(store.hasVersion(1));
     BOOST_TEST(store.calls.at(1).find("after=a%2Fx") != std::string::npos);
@@ -156,38 +159,38 @@
     BOOST_TEST(store.calls.at(2).find("after=7&") != std::string::npos);
 }
 
-// The store has dropped the history that the watch asked for: a change may have been missed, so
-// everything is read again.
-BOOST_AUTO_TEST_CASE(lost_history_is_made_up_by_a_read)
+// The registry has dropped the history that the watch asked for. A change may have been missed, so
+// all entries are read again.
+BOOST_AUTO_TEST_CASE(lost_history_causes_a_full_read)
 {
-    Store store([](UpstreamSide &side, const std::string &call, std::size_t number) {
+    Store store([](ScriptedConnection &connection, const std::string &call, std::size_t number) {
         if (!isRange(call))
-            return number == 1 ? side.send(answer("410 Gone", "{}")) : void();
-        side.send(answer(
+            return number == 1 ? connection.send(answer("410 Gone", "{}")) : void();
+        connection.send(answer(
             "200 OK",
             page(item(number == 0 ? versionOne : versionTwo, 5 + int(number)), 7 + int(number))));
     });
     BOOST_TEST(store.hasVersion(2));
 }
 
-// The store turns this process away, resets the connection, answers nonsense. What is known stays
-// in force, the calls keep their distance, and the first good answer counts.
-BOOST_AUTO_TEST_CASE(failures_leave_what_is_known_in_force)
+// The registry refuses this process, resets the connection and sends malformed answers. The known
+// configuration stays in force, retries are delayed, and the first valid answer is applied.
+BOOST_AUTO_TEST_CASE(failures_keep_the_known_configuration_in_force)
 {
-    Store store([](UpstreamSide &side, const std::string &call, std::size_t number) {
+    Store store([](ScriptedConnection &connection, const std::string &call, std::size_t number) {
         switch (number) {
         case 0:
-            return side.send(answer("200 OK", page(item(versionOne, 5), 7)));
+            return connection.send(answer("200 OK", page(item(versionOne, 5), 7)));
         case 1:
-            return side.send(answer("503 Busy", ""));
+            return connection.send(answer("503 Busy", ""));
         case 2:
-            return side.reset();
+            return connection.reset();
         case 3:
-            return side.send(answer("200 OK", "{\"entries\": 5}"));
+            return connection.send(answer("200 OK", "{\"entries\": 5}"));
         case 4:
-            return side.send(answer("429 Slow Down", ""));
+            return connection.send(answer("429 Slow Down", ""));
         default:
-            return isRange(call) ? side.send(answer("200 OK", page(item(versionTwo, 8), 9)))
+            return isRange(call) ? connection.send(answer("200 OK", page(item(versionTwo, 8), 9)))
                                  : void();
         }
     });
@@ -199,13 +202,13 @@
     BOOST_TEST(store.hasVersion(2));
 }
 
-// Guards against whole reads repeated by hundreds of routers that start together: the first of this
-// one failed, and it has meanwhile been given everything by a peer.
-BOOST_AUTO_TEST_CASE(a_first_read_that_failed_goes_on_from_what_a_peer_gave)
+// Guards against full reads repeated by hundreds of routers that start together. The first read of
+// this router failed, and a peer has meanwhile supplied all entries.
+BOOST_AUTO_TEST_CASE(a_failed_first_read_resumes_from_a_peers_revision)
 {
-    Store store([](UpstreamSide &side, const std::string &call, std::size_t) {
-        side.send(isRange(call) ? answer("503 Busy", "")
-                                : answer("200 OK", events(item(versionTwo, 9), 9)));
+    Store store([](ScriptedConnection &connection, const std::string &call, std::size_t) {
+        connection.send(isRange(call) ? answer("503 Busy", "")
+                                      : answer("200 OK", events(item(versionTwo, 9), 9)));
     });
     store.gateway.registryRead({7, {{"op/config", *core::decodeBase64(versionOne), 5}}});
     BOOST_TEST(store.hasVersion(2));
@@ -213,19 +216,20 @@
     BOOST_TEST(store.calls.at(1).find("after=7&wait-ms=50") != std::string::npos);
 }
 
-// The answer to a watch is lost, and nothing more comes on that connection. After the time that a
-// watch may take at most, everything is read again on another connection.
-BOOST_AUTO_TEST_CASE(a_watch_without_an_answer_is_given_up)
+// The answer to a watch is lost, and nothing more arrives on that connection. When the watch times
+// out, all entries are read again on another connection.
+BOOST_AUTO_TEST_CASE(a_watch_without_an_answer_times_out)
 {
-    Store store([](UpstreamSide &side, const std::string &call, std::size_t number) {
+    Store store([](ScriptedConnection &connection, const std::string &call, std::size_t number) {
         if (isRange(call))
-            side.send(answer("200 OK",
-                             page(item(number == 0 ? versionOne : versionTwo, 5 + int(number)),
-                                  7 + int(number))));
+            connection.send(
+                answer("200 OK",
+                       page(item(number == 0 ? versionOne : versionTwo, 5 + int(number)),
+                            7 + int(number))));
     });
     BOOST_TEST(store.hasVersion(1));
     BOOST_TEST(store.hasVersion(2));
-    BOOST_TEST(store.side.sides.size() == 2);
+    BOOST_TEST(store.server.connections.size() == 2);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
