--- a/include/applehatch/direct/admission.h
+++ b/include/applehatch/direct/admission.h
@@ -1,4 +1,4 @@
-/// Whether a request is taken at all, and when a caller that is turned away should come back.
+/// Admission control: which requests are accepted, and when a refused caller should retry.
 #pragma once
 
 #include "applehatch/direct/directory.h"
@@ -12,97 +12,108 @@
 
 namespace applehatch::direct {
 
-/// What a request asks for, as far as its admission depends on it.
-struct AdmissionAsk
+/// The properties of a request that its admission depends on.
+struct AdmissionRequest
 {
     std::string service;
     std::string customer;
     int priority = 0;      ///< 0 is the most urgent.
-    int routePriority = 0; ///< Decides among requests of the same priority.
-    Duration objective{0}; ///< An answer that begins later is of little use; 0 when not told.
+    int routePriority = 0; ///< Orders requests of the same `priority`; 0 is the most urgent.
+    Duration objective{0}; ///< Time to the first event after which an answer is of little use; 0 if
+                           ///< the route has none.
 };
 
-/// The upstream that would get the request.
-struct AdmissionRoom
+/// Occupancy of the upstream that would receive the request.
+struct UpstreamOccupancy
 {
-    std::uint32_t load = 0; ///< Requests of the whole fleet there.
+    std::uint32_t load = 0; ///< Requests that all routers of the fleet have at the upstream.
     std::uint32_t slots = 1;
 };
 
-struct Verdict
+struct AdmissionDecision
 {
     bool admitted = true;
-    Duration foreseenWait{0}; ///< For a slot.
-    Duration patience{0};     ///< The longest wait that was allowed.
+    Duration expectedWait{0}; ///< Expected wait for a free slot.
+    Duration maxWait{0};      ///< Longest wait for a slot at which the request is admitted.
 };
 
-/// Refuses what would wait too long for a slot to be of use, the less urgent first.
+/// Refuses requests that would wait too long for a slot to be of use, the less urgent ones first.
 ///
-/// The load it answers is a burst of several times what the engines can run. Without it every
-/// engine queues what comes beyond its slots; the first token then comes after two seconds in place
-/// of 90 ms, callers leave, and four in five requests that an engine ran were of no use to anyone.
-/// An engine with 64 slots that holds each request for 2.5 s frees one every 40 ms: how long the
-/// next one waits follows from how many are there already.
+/// This protects against bursts of several times the load that the engines can run. Without
+/// admission control each engine queues the requests beyond its slots; the first token then arrives
+/// after two seconds instead of 90 ms, callers give up, and four in five requests that an engine
+/// runs are of no use to anyone. An engine with 64 slots and a service time of 2.5 s frees a slot
+/// every 40 ms, so the wait of the next request follows from the number of requests already there.
 class Admission
 {
 public:
-    /// Of the objective, for waiting; the rest is the prompt's reading (90 ms of 300) and what
-    /// peers sent meanwhile that is not known here yet.
-    static constexpr double waitShare = 0.4;
-    /// Steps of priority that make a difference.
-    static constexpr int mostSteps = 2;
-    /// Of an upstream's slots, kept free for what is more urgent: four and five of 64. The least
-    /// urgent are mostly short, and would gain nothing for others by being kept out any further.
-    static constexpr std::array<double, mostSteps + 1> reserveShares{0, 4.0 / 64, 5.0 / 64};
-    /// The same for each step of a route's own priority where customers' priorities are equal.
-    static constexpr double tieShare = 1.0 / 64;
-    /// A customer with more than this many times its equal share of what runs counts as one step
-    /// less urgent, as long as others ask too.
-    static constexpr double fairShares = 2.0;
-    /// Fewer running requests than this say nothing of shares.
-    static constexpr std::uint32_t fewestToShare = 16;
-    /// Weight of the newest answer in the mean hold: about the last twenty count.
-    static constexpr double holdWeight = 0.1;
-    /// Refusals of this span are taken to come back.
-    static constexpr Duration returnWindow = std::chrono::seconds(2);
-    /// Fewer refusals than this within the window are chance and foretell nothing.
-    static constexpr std::size_t fewestToForesee = 8;
-    /// The soonest return: a shorter one would find the same load.
-    static constexpr Duration earliestReturn = std::chrono::milliseconds(150);
-    /// Spread of returns when little was refused.
-    static constexpr Duration leastSpread = std::chrono::milliseconds(350);
-    /// Callers wait for a third of their time at the most; four seconds are a third of the
-    /// usual 12.
-    static constexpr Duration longestSpread = std::chrono::seconds(4);
+    /// Share of the objective that a request may spend waiting for a slot. The rest covers reading
+    /// the prompt (90 ms of 300 ms) and requests that peers sent in the meantime and that are not
+    /// known here yet.
+    static constexpr double maxWaitShare = 0.4;
+    /// Highest priority step; lower urgency is treated like this step.
+    static constexpr int maxPrioritySteps = 2;
+    /// Share of an upstream's slots that is kept free for more urgent requests, by priority step:
+    /// four and five of 64 slots. The least urgent requests are mostly short, so reserving more
+    /// slots against them would not help the others.
+    static constexpr std::array<double, maxPrioritySteps + 1> reservedSlotShares{0, 4.0 / 64,
+                                                                                 5.0 / 64};
+    /// Additional share of slots reserved per step of the route's own priority, which orders
+    /// requests whose customers have equal priority.
+    static constexpr double routePriorityShare = 1.0 / 64;
+    /// A customer that runs more than this multiple of an equal share of the running requests
+    /// counts as one step less urgent while other customers have requests running too.
+    static constexpr double fairShareFactor = 2.0;
+    /// Shares of customers are not compared while fewer requests than this are running.
+    static constexpr std::uint32_t minRunningForShares = 16;
+    /// Weight of the newest sample in the mean service time; the mean covers about the last twenty.
+    static constexpr double serviceTimeWeight = 0.1;
+    /// Callers refused within this period are assumed to retry.
+    static constexpr Duration refusalWindow = std::chrono::seconds(2);
+    /// Fewer refusals than this within the window are random variation and do not widen the spread.
+    static constexpr std::size_t minRefusalsForBacklog = 8;
+    /// Shortest delay before a retry; an earlier retry would find the same load.
+    static constexpr Duration minRetryDelay = std::chrono::milliseconds(150);
+    /// Spread of the retry delays after few refusals.
+    static constexpr Duration minRetrySpread = std::chrono::milliseconds(350);
+    /// Largest spread of the retry delays. Callers wait for at most a third of their timeout; four
+    /// seconds are a third of the usual 12.
+    static constexpr Duration maxRetrySpread = std::chrono::seconds(4);
 
-    auto decide(const AdmissionAsk &ask, AdmissionRoom room) -> Verdict;
-    /// Objectives may differ from now on.
+    auto decide(const AdmissionRequest &request, UpstreamOccupancy occupancy) -> AdmissionDecision;
+    /// Discards the known objectives, which may change with a new configuration.
     auto noteConfiguration() -> void;
 
-    /// The request was sent to an upstream.
-    auto noteSent(const AdmissionAsk &ask) -> void;
-    /// It left the upstream; `held` is how long it kept a slot, where it ran to its end.
-    auto noteDone(const AdmissionAsk &ask, std::optional<Duration> held, Instant now) -> void;
+    /// Records that the request was sent to an upstream.
+    auto noteSent(const AdmissionRequest &request) -> void;
+    /// Records that the request left the upstream. `serviceTime` is how long it occupied a slot, if
+    /// it ran to completion.
+    auto noteDone(const AdmissionRequest &request, std::optional<Duration> serviceTime, Instant now)
+        -> void;
 
-    /// When a caller refused now should come back; `draw` is uniform in 0 to 1. The time grows with
-    /// the callers that were refused before and wait for their turn, against what the service ends.
-    auto returnTime(const AdmissionAsk &ask, double draw, Instant now) -> Duration;
+    /// Returns the delay after which a caller that is refused now should retry; `draw` is uniform
+    /// in 0 to 1. The delay grows with the ratio of recently refused callers, which are expected to
+    /// retry, to the requests that the service completes.
+    auto retryAfter(const AdmissionRequest &request, double draw, Instant now) -> Duration;
 
 private:
     struct Service
     {
-        std::optional<Duration> hold; // None before anything was served: nothing is foreseen then.
-        // The shortest by priority. A request that may begin later must not wait longer than one as
-        // urgent that may not: it would take every place before the other may.
+        // Mean service time; empty until a request was served, and no wait is predicted then.
+        std::optional<Duration> serviceTime;
+        // The shortest objective by priority. A request with a longer objective must not be allowed
+        // a longer wait than an equally urgent one with a shorter objective: it would take every
+        // slot before the other is admitted.
         std::map<int, Duration> objectives;
         std::uint32_t running = 0;
-        std::map<std::string, std::uint32_t> ofCustomer;
+        std::map<std::string, std::uint32_t> runningByCustomer;
         std::deque<Instant> refusals;
-        std::deque<Instant> ends;
+        std::deque<Instant> completions;
     };
 
-    [[nodiscard]] static auto patience(const AdmissionAsk &ask, const Service &service) -> Duration;
-    [[nodiscard]] static auto steps(const AdmissionAsk &ask, const Service &service) -> int;
+    [[nodiscard]] static auto maxWait(const AdmissionRequest &request, const Service &service)
+        -> Duration;
+    [[nodiscard]] static auto steps(const AdmissionRequest &request, const Service &service) -> int;
 
     std::map<std::string, Service> services_;
 };
--- a/include/applehatch/direct/choice.h
+++ b/include/applehatch/direct/choice.h
@@ -1,4 +1,4 @@
-/// Which upstream a request goes to.
+/// Selection of the upstream for a request.
 #pragma once
 
 #include "applehatch/direct/directory.h"
@@ -10,46 +10,53 @@
 
 namespace applehatch::direct {
 
-/// One upstream as a choice sees it.
-struct ChoiceView
+/// The state of one upstream that its selection depends on.
+struct UpstreamView
 {
     const Upstream *upstream = nullptr;
-    std::uint32_t load = 0;  ///< Requests of the whole fleet there.
-    double failureShare = 0; ///< Of its latest answers.
-    double slowness = 1;     ///< Its first events against the service's median; 1 is usual.
-    bool paused = false;     ///< Could not be reached a moment ago.
-    double memoryShare = 0;  ///< Of its memory, the contexts that come back to it.
+    std::uint32_t load = 0;  ///< Requests that all routers of the fleet have at the upstream.
+    double failureShare = 0; ///< Estimated share of failures among its recent answers.
+    double slowness =
+        1; ///< Ratio of its mean time to first event to the mean of all upstreams; 1 is usual.
+    bool paused = false; ///< Was unreachable recently and gets no requests for the time being.
+    double memoryShare =
+        0; ///< Share of its memory taken by contexts whose next request is expected there.
 };
 
-/// How far an engine's load may rise above the mean of its service: `factor` x mean + `slack`.
+/// Upper bound on an engine's load relative to the mean of its service: `factor` x mean + `slack`.
 struct LoadBound
 {
     double factor = 1.9;
     double slack = 2.5;
 };
 
-/// Picks an engine for a prompt: the one that used its context last, else the less loaded of its
-/// homes by rendezvous hashing, while their load keeps to the bound; else the least loaded of all.
+/// Selects the engine for a prompt. `holder`, the engine that used the context last, is preferred,
+/// then the less loaded of the context's candidates by rendezvous hashing, as long as their load is
+/// within the bound; otherwise the least loaded engine of all is chosen.
 ///
-/// Reading a context anew takes an engine an eighth of a second for 10,000 tokens and delays the
-/// tokens of all that run beside it. Every router finds the same homes without asking anyone. A
-/// context that comes back to one engine alone takes the memory of one: copies push other contexts
-/// out where memory is short. Null when nothing is usable.
+/// Reading a context again takes an engine an eighth of a second per 10,000 tokens and delays the
+/// tokens of all requests that run beside it. Rendezvous hashing gives every router the same
+/// candidates without communication. A context that is always sent to the same engine takes the
+/// memory of one engine only; copies would evict other contexts where memory is short. Returns null
+/// if no upstream is usable.
 [[nodiscard]] auto chooseEngine(std::uint64_t context, std::optional<UpstreamId> holder,
-                                const std::vector<ChoiceView> &usable, LoadBound bound)
+                                const std::vector<UpstreamView> &usable, LoadBound bound)
     -> const Upstream *;
 
-/// Homes of a context that its first use chooses from. Two keep the load far more even than one;
-/// a third gains little and lets routers that see different loads disagree more often.
-inline constexpr std::size_t homesEach = 2;
+/// Number of candidate engines among which the first use of a context chooses. Two keep the load
+/// far more even than one; a third gains little and makes routers that see different loads disagree
+/// more often.
+inline constexpr std::size_t candidatesPerContext = 2;
 
-/// The context's homes among `usable`, the better one first.
-[[nodiscard]] auto homesOf(std::uint64_t context, const std::vector<ChoiceView> &usable)
+/// Returns the context's candidates among `usable` in order of their rendezvous hash, its owner
+/// first.
+[[nodiscard]] auto contextCandidates(std::uint64_t context, const std::vector<UpstreamView> &usable)
     -> std::vector<UpstreamId>;
 
-/// Picks an upstream of a plain service: the least loaded for its slots, of those that do not fail
-/// more than others; within one data centre where that makes no difference. `draw` breaks ties.
-[[nodiscard]] auto chooseService(const std::vector<ChoiceView> &usable,
+/// Selects an upstream of a service that is not a model: the one with the lowest load per slot
+/// among those that do not fail more often than others, preferring the router's own data centre
+/// when the loads are about equal. `draw` breaks ties.
+[[nodiscard]] auto chooseService(const std::vector<UpstreamView> &usable,
                                  std::string_view ownDataCenter, std::uint64_t draw)
     -> const Upstream *;
 
--- a/include/applehatch/direct/context-map.h
+++ b/include/applehatch/direct/context-map.h
@@ -1,4 +1,4 @@
-/// Which engines hold which contexts.
+/// Tracks which engines hold which contexts.
 #pragma once
 
 #include "applehatch/core/expiring-map.h"
@@ -11,62 +11,68 @@
 
 namespace applehatch::direct {
 
-/// A context that was sent to an upstream.
+/// A context and the upstream that a request with it was sent to.
 struct ContextPlace
 {
     std::uint64_t context = 0;
     UpstreamId upstream = 0;
-    std::uint32_t tokens = 0; ///< Of the context.
+    std::uint32_t tokens = 0; ///< Size of the context in tokens.
 
     auto operator==(const ContextPlace &) const -> bool = default;
 };
 
-/// Where shared contexts were sent lately, by this router and by its peers.
+/// Upstreams to which this router and its peers recently sent requests with shared contexts.
 class ContextMap
 {
 public:
-    /// An engine drops what it used longest ago; a place unused for this long may be gone.
+    /// Lifetime of an entry. Engines evict the least recently used contexts, so a context that was
+    /// not used for this long may no longer be held.
     static constexpr Duration lifetime = std::chrono::seconds(30);
-    /// About 100 bytes each: at most 2 MB.
+    /// Maximum number of contexts; at about 100 bytes per context this is at most 2 MB.
     static constexpr std::size_t capacity = 20000;
-    /// Upstreams remembered for one context.
-    static constexpr std::size_t placesEach = 4;
-    /// Peers are told of uses this young at the least: two or three digests carry each.
-    static constexpr Duration toldFor = std::chrono::milliseconds(500);
-    /// Uses in one digest; 64 of 16 bytes keep it within one datagram.
+    /// Maximum number of upstreams stored per context.
+    static constexpr std::size_t maxUpstreamsPerContext = 4;
+    /// Uses are reported to peers until they are at least this old; two or three digests carry each
+    /// use.
+    static constexpr Duration reportWindow = std::chrono::milliseconds(500);
+    /// Maximum number of uses in one digest; 64 uses of 16 bytes keep it within one datagram.
     static constexpr std::size_t mostTold = 64;
 
-    auto noteSent(const ContextPlace &place, Instant now) -> void;
-    auto notePeer(const std::vector<ContextPlace> &places, Instant now) -> void;
-    /// The upstream used last comes first.
-    [[nodiscard]] auto places(std::uint64_t context, Instant now) const -> std::vector<UpstreamId>;
-    /// Tokens of the contexts that `upstream` used last, and that will come back to it.
+    auto noteSent(const ContextPlace &placement, Instant now) -> void;
+    auto notePeer(const std::vector<ContextPlace> &placements, Instant now) -> void;
+    /// Returns the upstreams that may hold `context`, the most recently used first.
+    [[nodiscard]] auto upstreamsOf(std::uint64_t context, Instant now) const
+        -> std::vector<UpstreamId>;
+    /// Returns the total tokens of the contexts that were used last at `upstream` and whose next
+    /// requests are expected there.
     [[nodiscard]] auto tokensAt(UpstreamId upstream) const -> std::uint64_t;
-    /// Forgets what has expired; to be called now and then.
+    /// Removes expired entries; must be called periodically.
     auto expire(Instant now) -> void;
-    /// Own uses of the last moment, each once; of `within`, where peers are told less often.
-    [[nodiscard]] auto recentUses(Instant now, Duration within = toldFor)
+    /// Returns this router's own recent uses without duplicates. Where reports to peers are less
+    /// frequent, `within` extends the period covered.
+    [[nodiscard]] auto recentUses(Instant now, Duration within = reportWindow)
         -> std::vector<ContextPlace>;
 
 private:
-    /// Going through 20,000 contexts takes a millisecond or two.
-    static constexpr Duration countsEach = std::chrono::seconds(1);
+    /// Minimum interval between recounts of the tokens; iterating over 20,000 contexts takes one to
+    /// two milliseconds.
+    static constexpr Duration recountInterval = std::chrono::seconds(1);
 
-    struct Held
+    struct Entry
     {
-        std::vector<UpstreamId> upstreams; // The one that used it last comes first.
+        std::vector<UpstreamId> upstreams; // Most recently used first.
         std::uint32_t tokens = 0;
     };
 
     struct Use
     {
-        ContextPlace place;
+        ContextPlace placement;
         Instant at;
     };
 
-    auto put(const ContextPlace &place, Instant now) -> void;
+    auto put(const ContextPlace &placement, Instant now) -> void;
 
-    core::ExpiringMap<Held> held_{capacity};
+    core::ExpiringMap<Entry> entries_{capacity};
     std::unordered_map<UpstreamId, std::uint64_t> tokensAt_;
     Instant countedAt_;
     std::deque<Use> uses_;
--- a/include/applehatch/direct/directory.h
+++ b/include/applehatch/direct/directory.h
@@ -1,4 +1,4 @@
-/// What a router that calls upstreams itself knows of routes, customers and upstreams.
+/// Routes, customers and upstreams as known to a router that calls upstreams directly.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -20,18 +20,18 @@
 using core::Instant;
 using core::UpstreamId;
 
-/// What may be repeated of a route's requests.
+/// Determines whether a route's requests may be retried after they may have run.
 enum class RouteKind {
     Safe,   ///< May run any number of times.
-    Unsafe, ///< Runs at most once for each request of a caller.
+    Unsafe, ///< Runs at most once per request of a caller.
     Stream, ///< Answers with events; runs at most once unless the route is resumable.
 };
 
-/// One service that a route's requests may go to.
+/// A service that requests of a route may be sent to.
 struct RouteTarget
 {
     std::string service;
-    std::uint32_t weight = 1; ///< Share of the requests, against the other targets' weights.
+    std::uint32_t weight = 1; ///< Relative to the weights of the other targets.
 };
 
 struct Route
@@ -41,31 +41,34 @@
     std::string prefix; ///< Begins and ends with a slash.
     RouteKind kind = RouteKind::Unsafe;
     std::vector<RouteTarget> targets;
-    Duration timeout{0};        ///< The longest a caller is kept waiting for the whole answer.
-    Duration objective{0};      ///< Answers within it are of full use to the caller.
-    Duration eventPause{0};     ///< The longest pause between events that is still on time.
-    std::uint32_t attempts = 1; ///< Upstreams that one request may be sent to.
+    Duration timeout{0}; ///< Limit on the time until the answer is complete.
+    Duration objective{
+        0}; ///< Target response time; answers within it are of full use to the caller.
+    Duration eventPause{0};     ///< Target for the pause between two events of a stream.
+    std::uint32_t attempts = 1; ///< Maximum number of upstreams that one request may be sent to.
     int priority = 0;           ///< 0 is the most urgent.
-    bool isPublic = false;      ///< Needs no key.
-    bool resumable = false;     ///< A stream that another upstream may go on with.
+    bool isPublic = false;      ///< Accepts requests without a key.
+    bool resumable = false;     ///< A broken stream may be continued by another upstream.
 };
 
 struct Service
 {
     std::string name;
-    std::uint32_t maxConnections = 0; ///< That one upstream takes from all callers; 0: not told.
-    bool isModel = false;             ///< Its upstreams are engines that keep prompts in memory.
-    std::uint32_t memoryTokens = 0;   ///< Of one engine, for requests and contexts; 0: not told.
-    bool sharesContexts = false;      ///< An engine can fetch a context from another.
+    std::uint32_t maxConnections =
+        0; ///< Connections that one upstream accepts from all callers; 0 if not known.
+    bool isModel = false; ///< Its upstreams are engines, which keep prompts in memory.
+    std::uint32_t memoryTokens =
+        0; ///< Memory of one engine for requests and contexts, in tokens; 0 if not known.
+    bool sharesContexts = false; ///< An engine can fetch a context from another.
 };
 
 struct Customer
 {
     std::string name;
-    std::optional<int> priority; ///< Goes before the route's.
+    std::optional<int> priority; ///< Overrides the route's priority.
 };
 
-/// Bounds on what a caller may send.
+/// Limits on the requests and connections of a caller.
 struct CallerLimits
 {
     std::size_t headerBytes = 16384;
@@ -85,39 +88,41 @@
     auto add(Route route) -> void;
     auto add(Customer customer, const std::vector<std::string> &keys) -> void;
 
-    /// The route with the longest prefix that begins `path`; null when there is none.
+    /// Returns the route with the longest prefix of `path`; null if there is none.
     [[nodiscard]] auto findRoute(std::string_view host, std::string_view path) const
         -> const Route *;
 
-    /// The customer that holds `key`; null when there is none.
+    /// Returns the customer that `key` belongs to; null if there is none.
     [[nodiscard]] auto findCustomer(const std::string &key) const -> const Customer *;
 
-    /// Whether requests need a key at all.
+    /// Whether any customers are configured, so that routes that are not public require a key.
     [[nodiscard]] auto hasCustomers() const -> bool { return namesCustomers; }
 
     bool namesCustomers = false;
 
 private:
-    std::unordered_map<std::string, std::vector<std::shared_ptr<const Route>>> routesOf_;
-    std::unordered_map<std::string, std::shared_ptr<const Customer>> customerOf_;
+    std::unordered_map<std::string, std::vector<std::shared_ptr<const Route>>> routesByHost_;
+    std::unordered_map<std::string, std::shared_ptr<const Customer>> customersByKey_;
 };
 
 enum class UpstreamState {
     Ready,
-    Doubtful, ///< Its entry lapsed while the registry was away; it may be back in a moment.
-    Leaving,  ///< Finishes what it has and takes nothing new.
+    Doubtful, ///< Its entry expired while the registry was unreachable; it may be written again
+              ///< shortly.
+    Leaving,  ///< Draining: completes its running requests and gets no new ones.
 };
 
-/// `ready`, `doubtful` or `leaving`; for the log.
+/// Returns `ready`, `doubtful` or `leaving`, for the log.
 [[nodiscard]] auto stateName(UpstreamState state) -> std::string_view;
 
-/// One upstream as its registry entry tells.
+/// An upstream as described by its registry entry.
 struct Upstream
 {
-    UpstreamId id = 0;      ///< Hash of `instance` and `life`: what is known of one life of an
-                            ///< upstream says nothing of the next.
-    std::string instance;   ///< The name under which it refuses what is meant for another.
-    std::uint64_t life = 0; ///< Changes when it starts again under the same name.
+    UpstreamId id = 0; ///< Hash of `instance` and `incarnation`; nothing known of one incarnation
+                       ///< applies to the next.
+    std::string instance;   ///< Name of the upstream, by which it recognizes and refuses requests
+                            ///< meant for another.
+    std::uint64_t life = 0; ///< Changes when the upstream restarts under the same name.
     std::string service;
     Address address;
     std::string dataCenter;
--- a/include/applehatch/direct/dispatcher.h
+++ b/include/applehatch/direct/dispatcher.h
@@ -1,4 +1,4 @@
-/// The decisions of a router that calls upstreams itself; no I/O, no clock.
+/// Routing decisions of a router that calls upstreams directly. Does no I/O and reads no clock.
 #pragma once
 
 #include "applehatch/core/error.h"
@@ -24,52 +24,55 @@
 
 namespace applehatch::direct {
 
-/// A request that its route and key allow.
+/// The result of matching a request to a route and its key to a customer.
 struct Permit
 {
-    ConfigurationPtr configuration; ///< Keeps `route` alive.
+    ConfigurationPtr configuration; ///< Owns `route` and `service`.
     const Route *route = nullptr;
     const Service *service = nullptr; ///< Null when the configuration has no such service.
     std::string serviceName;
-    std::string customer; ///< Empty where the configuration names no customers.
-    int priority = 0;     ///< The customer's, else the route's; 0 is the most urgent.
+    std::string customer; ///< Empty if no known key was given.
+    int priority = 0; ///< The customer's priority, or the route's if the customer has none; 0 is
+                      ///< the most urgent.
 };
 
-/// What a choice of upstream depends on besides the permit.
+/// The properties of a request, besides the permit, that the selection of an upstream depends on.
 struct Demand
 {
     Prompt prompt;
     Fingerprint fingerprint = 0;
-    std::vector<UpstreamId> tried; ///< Not again.
+    std::vector<UpstreamId> tried; ///< Upstreams that were tried already and are excluded.
 };
 
-/// A chosen upstream and the inputs that decided, for the log.
+/// A selected upstream and the inputs of the decision, for the log.
 struct Choice
 {
     Upstream upstream;
     std::uint32_t load = 0;
     std::uint32_t usable = 0;
-    Duration foreseenWait{0}; ///< For a slot there.
+    Duration foreseenWait{0}; ///< Expected wait for a free slot there.
     bool heldContext = false;
-    /// An engine that holds the context, where the chosen one does not: fetching 10,000 tokens
-    /// takes some 5 ms, reading them 120 ms.
+    /// An engine from which to fetch the context if the chosen one does not hold it: fetching
+    /// 10,000 tokens takes about 5 ms, reading them 120 ms.
     std::optional<Address> fetchFrom;
 };
 
-/// Where this router stands.
+/// The router's data centre and the seed of its random numbers.
 struct Self
 {
     std::string dataCenter;
     std::uint64_t seed = 0;
 };
 
-/// Not thread-safe.
+/// Matches requests to routes, selects upstreams and keeps the state that these decisions depend
+/// on. Not thread-safe.
 class Dispatcher
 {
 public:
     Dispatcher(Self self, RetryLimits retryLimits, Instant startedAt);
 
-    /// Takes a version; an older one than that in force changes nothing and gives false.
+    /// Installs a configuration. Returns false and changes nothing unless its version is newer than
+    /// the current one.
     auto setConfiguration(ConfigurationPtr configuration) -> bool;
     auto setUpstreams(UpstreamList upstreams) -> void;
     auto setLoadBound(LoadBound bound) -> void { bound_ = bound; }
@@ -81,80 +84,87 @@
     [[nodiscard]] auto upstreams() const -> const UpstreamList & { return upstreams_; }
     [[nodiscard]] auto findUpstream(UpstreamId id) const -> const Upstream *;
 
-    /// Whether a request may still be sent to a chosen upstream: a connection may have taken
-    /// seconds to open, and one that leaves must get nothing new.
+    /// Whether a request may still be sent to a chosen upstream. Opening a connection may have
+    /// taken seconds, and an upstream that began to drain in the meantime must not get new
+    /// requests.
     [[nodiscard]] auto mayTake(UpstreamId id) const -> bool;
 
-    /// Finds the route and checks the key.
+    /// Finds the route, checks the key and draws the target service.
     [[nodiscard]] auto admit(std::string_view host, std::string_view path,
                              const std::optional<std::string> &key)
         -> std::variant<Permit, core::Failure>;
 
-    /// Counts the request for the retry budget of its service.
+    /// Counts the request towards the retry budget of its service.
     auto noteRequest(const Permit &permit, Instant now) -> void;
 
-    /// Picks an upstream that has not been tried; refuses a first try that would wait too long.
+    /// Selects an upstream that has not been tried; refuses a first attempt that would wait too
+    /// long for a slot.
     [[nodiscard]] auto choose(const Permit &permit, const Demand &demand, Instant now)
         -> std::variant<Choice, core::Failure>;
 
-    /// Whether there is an upstream that has not been tried.
+    /// Whether a usable upstream remains that has not been tried.
     [[nodiscard]] auto hasOther(const Permit &permit, const Demand &demand, Instant now) const
         -> bool;
 
     auto noteSent(UpstreamId upstream, const Demand &demand, Instant now) -> void;
-    /// The request left `upstream`, however it ended there.
+    /// Records that the request left `upstream`, with any outcome.
     auto noteDone(UpstreamId upstream) -> void { loads_.noteDone(upstream); }
-    /// Counts the request for admission, from when it is sent until it leaves its upstream. `held`
-    /// is how long it kept a slot, where it was served.
-    auto noteTaken(const Permit &permit) -> void { admission_.noteSent(askOf(permit)); }
+    /// Counts the request for admission control from when it is sent until it leaves its upstream.
+    /// `held` is how long it occupied a slot, if it was served.
+    auto noteTaken(const Permit &permit) -> void
+    {
+        admission_.noteSent(admissionRequestOf(permit));
+    }
     auto noteLeft(const Permit &permit, std::optional<Duration> held, Instant now) -> void
     {
-        admission_.noteDone(askOf(permit), held, now);
+        admission_.noteDone(admissionRequestOf(permit), held, now);
     }
     auto noteOutcome(UpstreamId upstream, Outcome outcome, Instant now) -> void;
-    /// The first event came after `wait`.
+    /// Records that the first event of a request arrived after `wait`.
     auto noteFirstEvent(UpstreamId upstream, Duration wait, Instant now) -> void;
 
-    /// Whether the budget has a second try for the permit's service; takes it.
+    /// Takes a retry from the budget of the permit's service; returns false if none is left.
     [[nodiscard]] auto takeRetry(const Permit &permit, Instant now) -> bool;
 
-    /// When a caller that is refused now should come back; spread so that callers do not return
-    /// all at once.
+    /// Returns the delay after which a refused caller should retry, randomized so that callers do
+    /// not all return at once.
     [[nodiscard]] auto retryAfter() -> Duration;
-    /// The same for a request that found no room: the more were refused, the later.
+    /// Returns the retry delay for a request refused by admission control; it grows with the number
+    /// of recent refusals.
     [[nodiscard]] auto returnTime(const Permit &permit, Instant now) -> Duration;
 
-    [[nodiscard]] auto loads() -> LoadBook & { return loads_; }
+    [[nodiscard]] auto loads() -> LoadTracker & { return loads_; }
     [[nodiscard]] auto contexts() -> ContextMap & { return contexts_; }
-    [[nodiscard]] auto suspects() -> Suspects & { return suspects_; }
+    [[nodiscard]] auto suspects() -> CrashSuspects & { return suspects_; }
     [[nodiscard]] auto health() -> UpstreamHealth & { return health_; }
 
 private:
-    [[nodiscard]] auto usableOf(const Permit &permit, const std::vector<UpstreamId> &tried,
-                                Instant now) const -> std::vector<ChoiceView>;
-    /// Whence an engine that does not hold a context gets it: from a holder; where none is known,
-    /// from the context's other home, which answers at once when it does not hold it either.
+    [[nodiscard]] auto usableUpstreams(const Permit &permit, const std::vector<UpstreamId> &tried,
+                                       Instant now) const -> std::vector<UpstreamView>;
+    /// Returns the engine from which `chosen`, which does not hold the context, should fetch it: an
+    /// engine known to hold it, or, if none is known, the context's other candidate, which answers
+    /// at once if it does not hold it either.
     [[nodiscard]] auto fetchSource(std::uint64_t context, UpstreamId chosen,
-                                   const std::vector<ChoiceView> &usable, Instant now) const
+                                   const std::vector<UpstreamView> &usable, Instant now) const
         -> std::optional<Address>;
     [[nodiscard]] auto reachableHolder(const std::vector<UpstreamId> &holders, Instant now) const
         -> std::optional<Address>;
     [[nodiscard]] auto drawTarget(const Route &route) -> const std::string &;
     [[nodiscard]] auto draw() -> std::uint64_t;
-    [[nodiscard]] static auto askOf(const Permit &permit) -> AdmissionAsk;
+    [[nodiscard]] static auto admissionRequestOf(const Permit &permit) -> AdmissionRequest;
     [[nodiscard]] auto refusal(core::ErrorKind kind, std::string detail) -> core::Failure;
 
     Self self_;
-    std::uint64_t random_;
+    std::uint64_t randomState_;
     ConfigurationPtr configuration_;
     UpstreamList upstreams_;
-    std::unordered_map<std::string, std::vector<std::size_t>> ofService_;
-    std::unordered_map<UpstreamId, std::size_t> indexOf_;
+    std::unordered_map<std::string, std::vector<std::size_t>> indexesByService_;
+    std::unordered_map<UpstreamId, std::size_t> indexById_;
     LoadBound bound_;
-    LoadBook loads_;
+    LoadTracker loads_;
     UpstreamHealth health_;
     ContextMap contexts_;
-    Suspects suspects_;
+    CrashSuspects suspects_;
     RetryBudget budget_;
     Admission admission_;
     std::size_t routers_ = 1;
--- a/include/applehatch/direct/load-book.h
+++ b/include/applehatch/direct/load-book.h
@@ -1,4 +1,4 @@
-/// How many requests each upstream runs, over the whole fleet.
+/// Tracks the number of requests that each upstream runs for the whole fleet.
 #pragma once
 
 #include "applehatch/direct/directory.h"
@@ -9,27 +9,28 @@
 
 namespace applehatch::direct {
 
-/// Names one router process in one life.
+/// Identifies one incarnation of a router process.
 using PeerId = std::uint64_t;
 
-/// What a router says of its own requests at one upstream.
+/// The number of requests that a router reports to have running at one upstream.
 struct PeerLoad
 {
     UpstreamId upstream = 0;
     std::uint32_t running = 0;
 };
 
-/// Adds up what this router has under way, what its peers told, and what upstreams report.
+/// Combines this router's own running requests, the counts reported by peers and the reports of the
+/// upstreams.
 ///
-/// A router that bounds an upstream's load by its own count alone lets the fleet send several
-/// times the bound to one upstream; peers' counts close that gap.
-class LoadBook
+/// A router that limits an upstream's load by its own count alone lets the fleet send several times
+/// the limit to one upstream; the peers' counts close that gap.
+class LoadTracker
 {
 public:
-    /// A peer's counts are void after this long unless set otherwise; about five lost datagrams at
-    /// the usual pace.
+    /// Default lifetime of a peer's counts; about five lost datagrams at the usual interval.
     static constexpr Duration peerLifetime = std::chrono::milliseconds(1500);
-    /// A report is void after this long: by then most of what it counted has finished.
+    /// Lifetime of an upstream's report; after this long most of the requests that it counted have
+    /// finished.
     static constexpr Duration reportLifetime = std::chrono::milliseconds(400);
 
     auto noteSent(UpstreamId upstream) -> void { ++own_[upstream]; }
@@ -38,44 +39,46 @@
     auto noteReport(UpstreamId upstream, std::uint32_t running, std::uint32_t waiting, Instant now)
         -> void;
     auto forget(UpstreamId upstream) -> void;
-    /// Where peers tell less often, their counts must hold for longer.
-    auto setPeerLifetime(Duration lifetime) -> void { lifetime_ = lifetime; }
-    /// Drops the counts of peers that fell silent.
+    /// Sets the lifetime of peers' counts, which must be longer where peers report less often.
+    auto setPeerLifetime(Duration lifetime) -> void { peerLifetime_ = lifetime; }
+    /// Drops the counts of peers whose reports have expired.
     auto expire(Instant now) -> void;
 
-    [[nodiscard]] auto own(UpstreamId upstream) const -> std::uint32_t;
-    /// Requests at `upstream` from all routers: counted, or reported where that is more.
-    [[nodiscard]] auto fleet(UpstreamId upstream, Instant now) const -> std::uint32_t;
-    /// What this router tells its peers: upstreams with requests under way.
+    [[nodiscard]] auto ownLoad(UpstreamId upstream) const -> std::uint32_t;
+    /// Returns the number of requests at `upstream` from all routers: the sum of the routers'
+    /// counts, or the number reported by the upstream if that is higher.
+    [[nodiscard]] auto fleetLoad(UpstreamId upstream, Instant now) const -> std::uint32_t;
+    /// Returns the counts that this router reports to its peers: upstreams with running requests.
     [[nodiscard]] auto ownLoads() const -> std::vector<PeerLoad>;
 
 private:
     struct Peer
     {
         std::unordered_map<UpstreamId, std::uint32_t> running;
-        Instant toldAt;
+        Instant receivedAt;
     };
     using Counts = std::unordered_map<UpstreamId, std::uint32_t>;
 
-    auto addToPeers(const Counts &counts) -> void;
-    auto takeFromPeers(const Counts &counts) -> void;
-    [[nodiscard]] auto ofPeers(UpstreamId upstream, Instant now) const -> std::uint32_t;
+    auto addToPeerSums(const Counts &counts) -> void;
+    auto subtractFromPeerSums(const Counts &counts) -> void;
+    [[nodiscard]] auto peerLoad(UpstreamId upstream, Instant now) const -> std::uint32_t;
 
     struct Report
     {
         std::uint32_t total = 0;
-        std::uint32_t ownThen = 0; // Own requests when it came, to correct it by later ones.
-        Instant toldAt;
+        std::uint32_t ownAtReport =
+            0; // Own requests when the report arrived; later changes are added to it.
+        Instant receivedAt;
     };
 
     std::unordered_map<UpstreamId, std::uint32_t> own_;
     std::unordered_map<PeerId, Peer> peers_;
-    Duration lifetime_ = peerLifetime;
-    // Sums of `peers_`, which a choice takes for each upstream: 390 peers before 730 upstreams
-    // would make 285,000 look-ups. Whole until `sumsHoldUntil_`, when a peer may have fallen
-    // silent.
-    Counts sums_;
-    Instant sumsHoldUntil_;
+    Duration peerLifetime_ = peerLifetime;
+    // Sums over `peers_`, which are needed for each upstream whenever one is selected: with 390
+    // peers and 730 upstreams these would be 285,000 look-ups. Valid until `peerSumsValidUntil_`,
+    // when the counts of a peer may have expired.
+    Counts peerSums_;
+    Instant peerSumsValidUntil_;
     std::unordered_map<UpstreamId, Report> reports_;
 };
 
--- a/include/applehatch/direct/prompt.h
+++ b/include/applehatch/direct/prompt.h
@@ -1,4 +1,4 @@
-/// Prompts, and what they share.
+/// Prompts and the contexts that they share.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,8 @@
 
 namespace applehatch::direct {
 
-/// One part of a prompt; requests share parts, and an engine reads a part it holds only once.
+/// One part of a prompt. Requests may share parts, and an engine does not read again a part that it
+/// holds.
 struct PromptPart
 {
     std::uint64_t id = 0;
@@ -17,14 +18,14 @@
 
 using Prompt = std::vector<PromptPart>;
 
-/// The parts of a prompt that others may share. An engine keeps them for the next such prompt.
+/// The parts of a prompt that other prompts may share; an engine keeps them for later prompts.
 struct SharedContext
 {
     std::uint64_t hash = 0; ///< 0 for an empty prompt.
     std::uint32_t tokens = 0;
 };
 
-/// All parts but the last; the only part, where there is one.
+/// Returns the context formed by all parts but the last, or by the only part.
 [[nodiscard]] auto sharedContext(const Prompt &prompt) -> SharedContext;
 
 } // namespace applehatch::direct
--- a/include/applehatch/direct/reader-book.h
+++ b/include/applehatch/direct/reader-book.h
@@ -1,4 +1,5 @@
-/// Which routers read the registry, by their own word, and when it last answered one of them.
+/// Tracks which routers read the registry, by their own reports, and when it last answered one of
+/// them.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -15,83 +16,91 @@
 using core::Duration;
 using core::Instant;
 
-/// What a router says of its reading, heard directly or through others.
+/// The state of a router that reads the registry, reported by itself or relayed by other routers.
 struct ReaderWord
 {
     Address router;
-    /// Rises with each answer of the registry to that router; nobody else raises it.
+    /// Increases with each answer of the registry to that router, which alone increments it.
     std::uint64_t heartbeat = 0;
-    std::uint64_t revision = 0; ///< That the router had then.
-    Duration age{0};            ///< Since that answer, as far as the ages told add up.
+    std::uint64_t revision = 0; ///< Registry revision that the router had when it reported.
+    Duration age{0}; ///< Time since that answer, added up from the ages reported on the way.
 };
 
-/// A router's rank among those that may read the registry; it stays the same for its address.
+/// Returns a router's rank among those that may read the registry; it depends only on its address.
+/// Lower ranks read first.
 [[nodiscard]] auto readerRank(const Address &router) -> std::uint64_t;
 
-/// Tells readers that the registry answers from those that only wait for it; no clock, no I/O.
+/// Distinguishes readers that the registry answers from those that only wait for an answer. Reads
+/// no clock and does no I/O.
 ///
-/// A word counts by the registry's last answer, not by when it was heard: a reader that is cut off
-/// in silence goes on sending words, and only their age shows it. A word with the heartbeat
-/// that is known already changes nothing, however young it claims to be. Each router passes words
-/// on, the way takes time, and among many ways the fastest would otherwise make an old word young
-/// again and again, so that the fleet believes for seconds in a reader that is gone.
+/// The age of a status counts from the registry's last answer, not from its arrival here: a reader
+/// that is cut off without an error goes on sending its status, and only the age shows it. A status
+/// whose heartbeat is already known does not change the age, however recent it claims to be.
+/// Routers relay each status and relaying takes time; among many paths the fastest would otherwise
+/// make an old status appear recent again and again, so that the fleet relies for seconds on a
+/// reader that has died.
 class ReaderBook
 {
 public:
-    /// A watch waits for this long at the most, so an idle registry answers each reader so often.
+    /// Longest wait of a watch, and so the interval at which an idle registry answers each reader.
     static constexpr Duration watchPeriod = std::chrono::milliseconds(2500);
-    /// A reader counts for this long after its last answer: the longest watch, a slow answer and
-    /// the way of its word.
+    /// Time for which a reader is trusted after its last answer: the longest watch, a slow answer
+    /// and the propagation of its status.
     static constexpr Duration trustedFor = std::chrono::milliseconds(3300);
-    /// A heartbeat is remembered for longer than any word of it can be under way.
-    static constexpr Duration rememberedFor = 3 * trustedFor;
+    /// Time for which a heartbeat is remembered; longer than any status that carries it can be
+    /// under way.
+    static constexpr Duration heartbeatLifetime = 3 * trustedFor;
 
-    /// `firstHeartbeat` is higher than any of an earlier process at this address, unless the time
-    /// of day was set back.
+    /// `firstHeartbeat` must be higher than any heartbeat of an earlier process at this address; it
+    /// is lower if the time of day was set back.
     ReaderBook(Address self, std::uint64_t firstHeartbeat);
 
-    /// The registry answered this router.
+    /// Records that the registry answered this router.
     auto beat(Instant now) -> void;
-    /// This router's own word; none when the registry has not answered it of late.
+    /// Returns this router's own status; empty if the registry has not answered it recently.
     [[nodiscard]] auto ownWord(std::uint64_t revision, Instant now) const
         -> std::optional<ReaderWord>;
 
-    auto note(const ReaderWord &word, Instant now) -> void;
-    /// The router itself says that it does not read.
+    auto note(const ReaderWord &status, Instant now) -> void;
+    /// Records that `router` itself reported that it does not read the registry.
     auto noteStopped(const Address &router) -> void;
-    /// Sets all readers aside when the registry has answered nobody for `limit`, as far as is
-    /// heard; true then. They count again when it answers one of them.
+    /// Stops trusting all readers if the registry has answered none of them for longer than
+    /// `limit`, as far as is known here; returns true if so. They are trusted again once a later
+    /// answer to one of them is known.
     auto setAsideWhenQuiet(Duration limit, Instant now) -> bool;
 
-    /// The other routers that read, lowest rank first, with their ages as of now.
+    /// Returns the other routers that read the registry, lowest rank first, with their current
+    /// ages.
     [[nodiscard]] auto readers(Instant now) const -> std::vector<ReaderWord>;
-    /// What a digest tells: this router's own word, if it reads, and those of the lowest ranks.
-    /// Every router decides by these alone: of the youngest words each of many readers would hear
-    /// too few of lower rank, and read on.
+    /// Returns the statuses to report in a digest: this router's own if it reads, and those of the
+    /// lowest ranks. Every router decides by the lowest ranks alone: if the most recent statuses
+    /// were sent instead, each of many readers would hear of too few with lower ranks and would
+    /// keep reading.
     [[nodiscard]] auto told(std::optional<ReaderWord> own, Instant now) const
         -> std::vector<ReaderWord>;
-    /// Since the youngest answer to anybody; none when no answer is known.
+    /// Returns the time since the registry's latest answer to any router; empty if no answer is
+    /// known.
     [[nodiscard]] auto sinceAnswer(Instant now) const -> std::optional<Duration>;
-    /// How long this router's next watch waits, so that the answers to the readers come evenly
-    /// spread and the age of the youngest stays small at no more calls.
+    /// Returns the timeout of this router's next watch. It spreads the answers to the readers
+    /// evenly, so that the latest answer is always recent without additional calls.
     [[nodiscard]] auto nextWatch(Instant now) const -> Duration;
 
 private:
-    struct Row
+    struct Entry
     {
-        ReaderWord word;
-        Instant beatAt;
+        ReaderWord status;
+        Instant answeredAt;
         bool stopped = false;
     };
 
-    [[nodiscard]] auto youngestAnswer() const -> std::optional<Instant>;
-    [[nodiscard]] auto counts(const Row &row, Instant now) const -> bool;
+    [[nodiscard]] auto latestAnswer() const -> std::optional<Instant>;
+    [[nodiscard]] auto isTrusted(const Entry &entry, Instant now) const -> bool;
 
     Address self_;
     std::uint64_t ownHeartbeat_;
-    std::optional<Instant> ownBeatAt_;
-    std::map<std::uint64_t, Row> rows_; // By rank.
-    std::optional<Instant> quietSince_; // Readers whose last answer is no later are set aside.
+    std::optional<Instant> ownAnsweredAt_;
+    std::map<std::uint64_t, Entry> entries_; // Keyed by rank.
+    std::optional<Instant> silentSince_;     // Readers without a later answer are not trusted.
 };
 
 } // namespace applehatch::direct
--- a/include/applehatch/direct/registry-replica.h
+++ b/include/applehatch/direct/registry-replica.h
@@ -1,4 +1,5 @@
-/// The last known contents of the platform's registry, from the registry itself or from a peer.
+/// The last known contents of the platform's registry, received from the registry itself or from a
+/// peer.
 #pragma once
 
 #include "applehatch/direct/directory.h"
@@ -12,15 +13,15 @@
 
 namespace applehatch::direct {
 
-/// One entry; what key and value mean is the adapter's business.
+/// An entry of the registry; its key and value are interpreted by the adapter.
 struct RegistryItem
 {
     std::string key;
     std::string value;
-    std::uint64_t revision = 0; ///< Of its last change.
+    std::uint64_t revision = 0; ///< Revision of its last change.
 };
 
-/// A change that the registry told of.
+/// A change reported by the registry.
 struct RegistryChange
 {
     RegistryItem item;
@@ -34,7 +35,7 @@
     std::vector<RegistryItem> items;
 };
 
-/// What changed after `since`, up to `revision`; all entries where `since` is 0.
+/// The changes after `since` up to `revision`; all entries if `since` is 0.
 struct RegistryNews
 {
     std::uint64_t since = 0;
@@ -42,52 +43,55 @@
     std::vector<RegistryChange> changes;
 };
 
-/// An entry as it counts now.
+/// An entry that is currently in force.
 struct HeldItem
 {
     std::string value;
     std::uint64_t revision = 0;
-    /// The entry is missing from the registry, which was away; it counts until then.
+    /// Set when the entry is missing after an outage of the registry; it stays in force until this
+    /// time.
     std::optional<Instant> doubtfulUntil;
 };
 
-/// Entries lapse while the registry is away, because nobody can renew them, and their owners write
-/// them anew just after its return. Dropping them at once would leave the router without a single
-/// upstream for two seconds, and every caller would be refused. They are kept as doubtful for
-/// `settleTime` and then dropped.
+/// A local copy of the registry's entries that survives outages of the registry.
+///
+/// Entries expire while the registry is unreachable, because nobody can renew them, and their
+/// owners write them again just after it returns. Dropping them at once would leave the router
+/// without a single upstream for two seconds, and every caller would be refused. They are kept as
+/// doubtful for `settleTime` and then dropped.
 class RegistryReplica
 {
 public:
-    /// The platform promises that live entries are back about two seconds after its return.
+    /// The platform guarantees that live entries are restored about two seconds after its return.
     static constexpr Duration settleTime = std::chrono::milliseconds(1950);
 
-    /// The registry did not answer this process.
+    /// Records that the registry did not answer this process.
     auto noteLost() -> void;
-    /// It answers again.
+    /// Records that the registry answers again.
     auto noteRegained(Instant now) -> void;
     [[nodiscard]] auto reachable() const -> bool { return reachable_; }
 
-    /// Takes all entries; an older revision than the one held changes nothing.
+    /// Applies all entries; a revision older than the current one changes nothing and gives false.
     auto apply(const RegistrySnapshot &snapshot, Instant now) -> bool;
-    /// Takes changes up to `revision`.
+    /// Applies changes up to `revision`; returns true if any was new.
     auto apply(const std::vector<RegistryChange> &changes, std::uint64_t revision, Instant now)
         -> bool;
-    /// Takes what a peer told; news that begin after the revision held would leave a gap and change
-    /// nothing.
-    auto apply(const RegistryNews &news, Instant now) -> bool;
-    /// Drops what stayed doubtful for too long; true when something was.
+    /// Applies the changes received from a peer. Changes that begin after the current revision
+    /// would leave a gap and are ignored.
+    auto apply(const RegistryNews &delta, Instant now) -> bool;
+    /// Drops entries that stayed doubtful for too long; returns true if there were any.
     auto expire(Instant now) -> bool;
 
     [[nodiscard]] auto revision() const -> std::uint64_t { return revision_; }
     [[nodiscard]] auto items() const -> const std::map<std::string, HeldItem> & { return items_; }
-    /// What a peer that holds `revision` is given: the changes since, or all entries where these
-    /// are no longer known. Entries that lapsed count as removed.
+    /// Returns what a peer at `revision` needs: the changes since then, or all entries if those
+    /// changes are no longer known. Entries that are doubtful count as removed.
     [[nodiscard]] auto newsSince(std::uint64_t revision) const -> RegistryNews;
 
 private:
-    /// Removals remembered for peers: some 100 bytes each. A fleet that loses its 730 upstreams at
-    /// once fits.
-    static constexpr std::size_t mostRemovals = 1024;
+    /// Maximum number of removals remembered for peers, at about 100 bytes each. A fleet that loses
+    /// its 730 upstreams at once fits.
+    static constexpr std::size_t maxRemovals = 1024;
 
     struct Removal
     {
@@ -99,11 +103,11 @@
     auto noteRemoved(const std::string &key, std::uint64_t revision) -> void;
 
     bool reachable_ = true;
-    Instant settledAt_; ///< Until then a missing entry may be back in a moment.
+    Instant settledAt_; ///< Until then a missing entry may be written again shortly.
     std::uint64_t revision_ = 0;
     std::map<std::string, HeldItem> items_;
-    std::deque<Removal> removals_; // Oldest first.
-    std::uint64_t knownSince_ = 0; // Every later change is in `items_` or `removals_`.
+    std::deque<Removal> removals_;   // Oldest first.
+    std::uint64_t historySince_ = 0; // Every later change is in `items_` or `removals_`.
 };
 
 } // namespace applehatch::direct
--- a/include/applehatch/direct/retry-budget.h
+++ b/include/applehatch/direct/retry-budget.h
@@ -1,4 +1,4 @@
-/// How many second tries this router may add to a service.
+/// Limits the retries that this router adds to the load of a service.
 #pragma once
 
 #include "applehatch/direct/directory.h"
@@ -9,31 +9,32 @@
 
 namespace applehatch::direct {
 
-/// What all routers together may add to a service's requests.
+/// Limits on the retries that all routers together may add to a service's requests.
 struct RetryLimits
 {
-    double ratio = 0.2;                         ///< Of the requests within a window.
-    Duration window = std::chrono::seconds(10); ///< Slides.
-    double extra = 50;                          ///< On top of the ratio, for the whole fleet.
+    double ratio = 0.2;                         ///< Retries per request within the window.
+    Duration window = std::chrono::seconds(10); ///< Length of the sliding window.
+    double extra = 50; ///< Retries allowed on top of the ratio, for the whole fleet.
 };
 
-/// Second tries of one router within a sliding window.
+/// Retry budget of one router within a sliding window.
 ///
 /// When upstreams fail, every router retries at once, and the retries load the upstreams that still
-/// work until these fail too. The bound holds over the fleet without a message: each router keeps
-/// to the ratio for its own requests and takes an equal share of the extra. It therefore also holds
-/// while routers cannot hear one another.
+/// work until these fail too. The limit holds for the fleet without communication, and therefore
+/// also while routers cannot hear one another: each router keeps to the ratio for its own requests
+/// and takes an equal share of the extra retries.
 class RetryBudget
 {
 public:
-    /// Of what is allowed; the rest covers requests counted in another window than their retry.
+    /// Share of the allowed retries that is used; the rest covers requests that are counted in a
+    /// different window than their retry.
     static constexpr double usedShare = 0.85;
 
     RetryBudget(RetryLimits limits, Instant startedAt);
 
     auto setLimits(RetryLimits limits) -> void { limits_ = limits; }
     auto noteRequest(const std::string &service, Instant now) -> void;
-    /// Takes one second try; false when none is left.
+    /// Takes one retry from the budget; returns false if none is left.
     auto take(const std::string &service, std::size_t routers, Instant now) -> bool;
 
 private:
@@ -43,7 +44,7 @@
         std::deque<Instant> retries;
     };
 
-    auto trimmed(const std::string &service, Instant now) -> Window &;
+    auto currentWindow(const std::string &service, Instant now) -> Window &;
 
     RetryLimits limits_;
     Instant startedAt_;
--- a/include/applehatch/direct/upstream-health.h
+++ b/include/applehatch/direct/upstream-health.h
@@ -1,4 +1,4 @@
-/// How far an upstream can be trusted, judged by its answers.
+/// Estimates the health of upstreams from their answers.
 #pragma once
 
 #include "applehatch/direct/directory.h"
@@ -8,51 +8,54 @@
 
 namespace applehatch::direct {
 
-/// How one request at an upstream ended, as far as it tells of the upstream.
+/// The outcome of a request at an upstream, as far as it shows the upstream's health.
 enum class Outcome {
     Served,
-    Refused,     ///< It said that it did not run the request.
-    Failed,      ///< It answered with a failure of its own.
-    Broken,      ///< The connection broke, or the answer was unreadable or not whole.
-    Silent,      ///< Nothing came in time.
+    Refused,     ///< The upstream stated that it did not run the request.
+    Failed,      ///< The upstream answered with a failure of its own.
+    Broken,      ///< The connection broke, or the answer was malformed or incomplete.
+    Silent,      ///< No answer arrived in time.
     Unreachable, ///< No connection could be opened.
 };
 
-/// Judges upstreams by what they did, not by what they say of themselves.
+/// Rates upstreams by the outcomes of requests, not by what they report about themselves.
 ///
 /// An upstream may pass its health check and still fail half of its requests, or be dead for
-/// seconds before the registry drops it. Its callers see errors; sending it less until it serves
-/// again spares them.
+/// seconds before the registry drops it. Its callers see errors; sending it fewer requests until it
+/// serves again avoids them.
 class UpstreamHealth
 {
 public:
     /// Weight of the newest outcome in the failure share; after 7 failures in a row it passes 3/4.
-    static constexpr double newestWeight = 0.18;
-    /// The failure share fades by half in this time, so that a recovered upstream gets work again.
+    static constexpr double outcomeWeight = 0.18;
+    /// Time in which the failure share decays by half, so that a recovered upstream gets requests
+    /// again.
     static constexpr Duration halfLife = std::chrono::seconds(2);
-    /// First pause after an upstream could not be reached; doubles to `longestPause`.
-    static constexpr Duration firstPause = std::chrono::milliseconds(400);
-    static constexpr Duration longestPause = std::chrono::seconds(3);
+    /// Initial pause after an upstream was unreachable; doubles up to `maxPause`.
+    static constexpr Duration initialPause = std::chrono::milliseconds(400);
+    static constexpr Duration maxPause = std::chrono::seconds(3);
 
-    /// Weight of the newest first event in an upstream's mean; about the last eight count.
+    /// Weight of the newest time to first event in an upstream's mean; the mean covers about the
+    /// last eight.
     static constexpr double firstEventWeight = 0.12;
-    /// First events before an upstream's mean counts.
-    static constexpr std::uint32_t fewestFirstEvents = 6;
+    /// Minimum number of first events before an upstream's mean is used.
+    static constexpr std::uint32_t minFirstEvents = 6;
 
     auto note(UpstreamId upstream, Outcome outcome, Instant now) -> void;
-    /// The first event of a request came after `wait`.
+    /// Records that the first event of a request arrived after `wait`.
     auto noteFirstEvent(UpstreamId upstream, Duration wait) -> void;
-    auto forget(UpstreamId upstream) -> void { held_.erase(upstream); }
+    auto forget(UpstreamId upstream) -> void { records_.erase(upstream); }
 
-    /// Estimated share of failures among its next requests, 0 to 1.
+    /// Returns the estimated share of failures among the upstream's next requests, 0 to 1.
     [[nodiscard]] auto failureShare(UpstreamId upstream, Instant now) const -> double;
-    /// Its mean wait for first events against that of all; 1 while too little is known.
+    /// Returns the ratio of the upstream's mean time to first event to the mean of all upstreams; 1
+    /// while there are too few samples.
     [[nodiscard]] auto slowness(UpstreamId upstream) const -> double;
-    /// Whether it could not be reached a moment ago and should be left alone.
+    /// Whether the upstream was unreachable recently and should get no requests for now.
     [[nodiscard]] auto isPaused(UpstreamId upstream, Instant now) const -> bool;
 
 private:
-    struct Held
+    struct Record
     {
         double failureShare = 0;
         Instant notedAt;
@@ -65,7 +68,7 @@
     double allFirstEventMs_ = 0;
     std::uint64_t allFirstEvents_ = 0;
 
-    std::unordered_map<UpstreamId, Held> held_;
+    std::unordered_map<UpstreamId, Record> records_;
 };
 
 } // namespace applehatch::direct
--- a/src/direct/admission.cc
+++ b/src/direct/admission.cc
@@ -18,54 +18,57 @@
     return std::chrono::duration_cast<Duration>(duration * factor);
 }
 
-// Time until a slot is free for one that comes after `load` others.
-auto waitFor(double load, std::uint32_t slots, std::optional<Duration> hold) -> Duration
+// Returns the time until a slot is free for a request that arrives after `load` others.
+auto queueWait(double load, std::uint32_t slots, std::optional<Duration> serviceTime) -> Duration
 {
     const auto ahead = load + 1 - slots;
-    return ahead <= 0 || !hold ? Duration(0) : scaled(*hold, ahead / slots);
+    return ahead <= 0 || !serviceTime ? Duration(0) : scaled(*serviceTime, ahead / slots);
 }
 
 } // namespace
 
-auto Admission::steps(const AdmissionAsk &ask, const Service &service) -> int
+auto Admission::steps(const AdmissionRequest &request, const Service &service) -> int
 {
-    auto steps = std::clamp(ask.priority, 0, mostSteps);
-    const auto own = service.ofCustomer.find(ask.customer);
-    if (ask.customer.empty() || own == service.ofCustomer.end() || service.running < fewestToShare)
+    auto steps = std::clamp(request.priority, 0, maxPrioritySteps);
+    const auto own = service.runningByCustomer.find(request.customer);
+    if (request.customer.empty() || own == service.runningByCustomer.end()
+        || service.running < minRunningForShares)
         return steps;
-    const auto equalShare =
-        static_cast<double>(service.running) / static_cast<double>(service.ofCustomer.size());
-    if (service.ofCustomer.size() > 1 && own->second > fairShares * equalShare)
+    const auto equalShare = static_cast<double>(service.running)
+        / static_cast<double>(service.runningByCustomer.size());
+    if (service.runningByCustomer.size() > 1 && own->second > fairShareFactor * equalShare)
         ++steps;
-    return std::min(steps, mostSteps);
+    return std::min(steps, maxPrioritySteps);
 }
 
-auto Admission::patience(const AdmissionAsk &ask, const Service &service) -> Duration
+auto Admission::maxWait(const AdmissionRequest &request, const Service &service) -> Duration
 {
-    auto shortest = ask.objective;
+    auto minObjective = request.objective;
     for (const auto &[priority, objective] : service.objectives) {
-        if (priority <= ask.priority)
-            shortest = std::min(shortest, objective);
+        if (priority <= request.priority)
+            minObjective = std::min(minObjective, objective);
     }
-    return scaled(shortest, waitShare);
+    return scaled(minObjective, maxWaitShare);
 }
 
-auto Admission::decide(const AdmissionAsk &ask, AdmissionRoom room) -> Verdict
+auto Admission::decide(const AdmissionRequest &request, UpstreamOccupancy occupancy)
+    -> AdmissionDecision
 {
-    Verdict verdict;
-    if (ask.objective <= Duration(0))
-        return verdict; // Nothing tells what would be too late.
-    auto &service = services_[ask.service];
-    auto &objective = service.objectives.try_emplace(ask.priority, ask.objective).first->second;
-    objective = std::min(objective, ask.objective);
-    const auto slots = std::max(1U, room.slots);
-    verdict.patience = patience(ask, service);
-    verdict.foreseenWait = waitFor(room.load, slots, service.hold);
-    const auto reserved = reserveShares.at(static_cast<std::size_t>(steps(ask, service)))
-        + tieShare * std::clamp(ask.routePriority, 0, mostSteps);
-    const auto asSeen = room.load + reserved * slots;
-    verdict.admitted = waitFor(asSeen, slots, service.hold) <= verdict.patience;
-    return verdict;
+    AdmissionDecision decision;
+    if (request.objective <= Duration(0))
+        return decision; // Without an objective no wait is too long.
+    auto &service = services_[request.service];
+    auto &objective =
+        service.objectives.try_emplace(request.priority, request.objective).first->second;
+    objective = std::min(objective, request.objective);
+    const auto slots = std::max(1U, occupancy.slots);
+    decision.maxWait = maxWait(request, service);
+    decision.expectedWait = queueWait(occupancy.load, slots, service.serviceTime);
+    const auto reserved = reservedSlotShares.at(static_cast<std::size_t>(steps(request, service)))
+        + routePriorityShare * std::clamp(request.routePriority, 0, maxPrioritySteps);
+    const auto effectiveLoad = occupancy.load + reserved * slots;
+    decision.admitted = queueWait(effectiveLoad, slots, service.serviceTime) <= decision.maxWait;
+    return decision;
 }
 
 auto Admission::noteConfiguration() -> void
@@ -74,42 +77,44 @@
         service.objectives.clear();
 }
 
-auto Admission::noteSent(const AdmissionAsk &ask) -> void
+auto Admission::noteSent(const AdmissionRequest &request) -> void
 {
-    auto &service = services_[ask.service];
+    auto &service = services_[request.service];
     ++service.running;
-    ++service.ofCustomer[ask.customer];
+    ++service.runningByCustomer[request.customer];
 }
 
-auto Admission::noteDone(const AdmissionAsk &ask, std::optional<Duration> held, Instant now) -> void
+auto Admission::noteDone(const AdmissionRequest &request, std::optional<Duration> serviceTime,
+                         Instant now) -> void
 {
-    auto &service = services_[ask.service];
+    auto &service = services_[request.service];
     if (service.running > 0)
         --service.running;
-    const auto own = service.ofCustomer.find(ask.customer);
-    if (own != service.ofCustomer.end() && --own->second == 0)
-        service.ofCustomer.erase(own);
-    service.ends.push_back(now);
-    dropBefore(service.ends, now - returnWindow);
-    if (!held)
+    const auto own = service.runningByCustomer.find(request.customer);
+    if (own != service.runningByCustomer.end() && --own->second == 0)
+        service.runningByCustomer.erase(own);
+    service.completions.push_back(now);
+    dropBefore(service.completions, now - refusalWindow);
+    if (!serviceTime)
         return;
-    const auto before = service.hold.value_or(*held);
-    service.hold = before + scaled(*held - before, holdWeight);
+    const auto before = service.serviceTime.value_or(*serviceTime);
+    service.serviceTime = before + scaled(*serviceTime - before, serviceTimeWeight);
 }
 
-auto Admission::returnTime(const AdmissionAsk &ask, double draw, Instant now) -> Duration
+auto Admission::retryAfter(const AdmissionRequest &request, double draw, Instant now) -> Duration
 {
-    auto &service = services_[ask.service];
+    auto &service = services_[request.service];
     service.refusals.push_back(now);
-    dropBefore(service.refusals, now - returnWindow);
-    dropBefore(service.ends, now - returnWindow);
-    auto spread = leastSpread;
-    if (service.refusals.size() >= fewestToForesee) {
-        const auto ends = static_cast<double>(std::max<std::size_t>(1, service.ends.size()));
-        const auto backlog = static_cast<double>(service.refusals.size()) / ends;
-        spread = std::clamp(scaled(returnWindow, backlog), leastSpread, longestSpread);
+    dropBefore(service.refusals, now - refusalWindow);
+    dropBefore(service.completions, now - refusalWindow);
+    auto spread = minRetrySpread;
+    if (service.refusals.size() >= minRefusalsForBacklog) {
+        const auto completions =
+            static_cast<double>(std::max<std::size_t>(1, service.completions.size()));
+        const auto backlog = static_cast<double>(service.refusals.size()) / completions;
+        spread = std::clamp(scaled(refusalWindow, backlog), minRetrySpread, maxRetrySpread);
     }
-    return earliestReturn + scaled(spread, std::clamp(draw, 0.0, 1.0));
+    return minRetryDelay + scaled(spread, std::clamp(draw, 0.0, 1.0));
 }
 
 } // namespace applehatch::direct
--- a/src/direct/choice.cc
+++ b/src/direct/choice.cc
@@ -10,25 +10,26 @@
 
 namespace {
 
-// An upstream whose failure share lies this far above the least of its service is left alone: two
-// failures in a row of one that served before.
+// An upstream whose failure share exceeds the lowest of its service by more than this is avoided.
+// Two failures in a row of an upstream that served before exceed it.
 constexpr double failureTolerance = 0.25;
-// An engine this many times slower than usual gets proportionally less; below it is chance.
+// The load limit of an engine that is slower than usual by more than this factor is reduced in
+// proportion; smaller differences are random variation.
 constexpr double slownessTolerance = 1.5;
 
-auto tier(const ChoiceView &view, double leastFailures) -> int
+auto tier(const UpstreamView &view, double minFailures) -> int
 {
     auto worse = 0;
     if (view.upstream->state == UpstreamState::Doubtful)
         worse += 1;
-    if (view.failureShare > leastFailures + failureTolerance)
+    if (view.failureShare > minFailures + failureTolerance)
         worse += 2;
     if (view.paused)
         worse += 4;
     return worse;
 }
 
-auto leastFailureShare(const std::vector<ChoiceView> &usable) -> double
+auto minFailureShare(const std::vector<UpstreamView> &usable) -> double
 {
     auto least = 1.0;
     for (const auto &view : usable)
@@ -36,14 +37,14 @@
     return least;
 }
 
-// The upstreams of the best tier that has any.
-auto bestTier(const std::vector<ChoiceView> &usable) -> std::vector<const ChoiceView *>
+// Returns the upstreams of the best tier that is not empty.
+auto bestTier(const std::vector<UpstreamView> &usable) -> std::vector<const UpstreamView *>
 {
-    const auto least = leastFailureShare(usable);
+    const auto least = minFailureShare(usable);
     auto best = std::numeric_limits<int>::max();
     for (const auto &view : usable)
         best = std::min(best, tier(view, least));
-    std::vector<const ChoiceView *> chosen;
+    std::vector<const UpstreamView *> chosen;
     for (const auto &view : usable) {
         if (tier(view, least) == best)
             chosen.push_back(&view);
@@ -51,7 +52,7 @@
     return chosen;
 }
 
-auto meanLoad(const std::vector<ChoiceView> &usable) -> double
+auto meanLoad(const std::vector<UpstreamView> &usable) -> double
 {
     auto total = 0.0;
     for (const auto &view : usable)
@@ -59,78 +60,78 @@
     return usable.empty() ? 0 : total / static_cast<double>(usable.size());
 }
 
-auto limitOf(const ChoiceView &view, double mean, LoadBound bound) -> double
+auto loadLimit(const UpstreamView &view, double mean, LoadBound bound) -> double
 {
     const auto limit = bound.factor * mean + bound.slack;
     return view.slowness > slownessTolerance ? limit / view.slowness : limit;
 }
 
-auto isBelowBound(const ChoiceView &view, double mean, LoadBound bound) -> bool
+auto isBelowBound(const UpstreamView &view, double mean, LoadBound bound) -> bool
 {
-    return view.load + 1.0 <= limitOf(view, mean, bound) && view.load < view.upstream->slots;
+    return view.load + 1.0 <= loadLimit(view, mean, bound) && view.load < view.upstream->slots;
 }
 
-// What of an engine's memory contexts may fill; the rest is for requests that run.
-constexpr double contextsMayFill = 0.5;
+// Share of an engine's memory that contexts may fill; the rest is for running requests.
+constexpr double maxContextShare = 0.5;
 
-// Beyond it a further context pushes out others that will be asked for.
-constexpr double fullOfContexts = 0.8;
+// Above this share of memory, an additional context evicts others that will be requested again.
+constexpr double fullContextShare = 0.8;
 
-auto memoryPressure(const ChoiceView &view) -> double
+auto memoryPressure(const UpstreamView &view) -> double
 {
-    return std::max(0.0, view.memoryShare - contextsMayFill);
+    return std::max(0.0, view.memoryShare - maxContextShare);
 }
 
-/// An upstream that may be chosen, and how good a home of the context it is.
-struct Candidate
+/// An upstream that may be chosen and its rendezvous score for the context.
+struct ScoredEngine
 {
-    const ChoiceView *view = nullptr;
-    std::uint64_t home = 0;
+    const UpstreamView *view = nullptr;
+    std::uint64_t score = 0;
 };
 
-auto withHomes(std::uint64_t context, const std::vector<const ChoiceView *> &views)
-    -> std::vector<Candidate>
+auto scoreEngines(std::uint64_t context, const std::vector<const UpstreamView *> &views)
+    -> std::vector<ScoredEngine>
 {
-    std::vector<Candidate> candidates;
-    candidates.reserve(views.size());
+    std::vector<ScoredEngine> engines;
+    engines.reserve(views.size());
     for (const auto *view : views)
-        candidates.push_back({view, core::rendezvousHash(context, view->upstream->id)});
-    return candidates;
+        engines.push_back({view, core::rendezvousHash(context, view->upstream->id)});
+    return engines;
 }
 
-auto isBetterHome(const Candidate &a, const Candidate &b) -> bool
+auto hasHigherScore(const ScoredEngine &a, const ScoredEngine &b) -> bool
 {
-    return a.home > b.home;
+    return a.score > b.score;
 }
 
-auto weightOf(const ChoiceView &view) -> double
+auto relativeLoad(const UpstreamView &view) -> double
 {
     return view.load * view.slowness / view.upstream->slots + memoryPressure(view);
 }
 
-// Of several with the least load the context's best home.
-auto leastLoaded(const std::vector<Candidate> &candidates) -> const Upstream *
+// Returns the least loaded engine; the one with the highest score if several have the same load.
+auto leastLoaded(const std::vector<ScoredEngine> &engines) -> const Upstream *
 {
-    const auto lighter = [](const Candidate &a, const Candidate &b) {
-        const auto left = weightOf(*a.view);
-        const auto right = weightOf(*b.view);
-        return left != right ? left < right : isBetterHome(a, b);
+    const auto isLessLoaded = [](const ScoredEngine &a, const ScoredEngine &b) {
+        const auto left = relativeLoad(*a.view);
+        const auto right = relativeLoad(*b.view);
+        return left != right ? left < right : hasHigherScore(a, b);
     };
-    const auto least = std::min_element(candidates.begin(), candidates.end(), lighter);
-    return least == candidates.end() ? nullptr : least->view->upstream;
+    const auto least = std::min_element(engines.begin(), engines.end(), isLessLoaded);
+    return least == engines.end() ? nullptr : least->view->upstream;
 }
 
-// The context's homes, the better one first.
-auto bestHomes(const std::vector<Candidate> &candidates) -> std::vector<Candidate>
+// Returns the context's candidates in descending order of score.
+auto topCandidates(const std::vector<ScoredEngine> &engines) -> std::vector<ScoredEngine>
 {
-    std::vector<Candidate> homes(std::min(homesEach, candidates.size()));
-    std::partial_sort_copy(candidates.begin(), candidates.end(), homes.begin(), homes.end(),
-                           isBetterHome);
-    return homes;
+    std::vector<ScoredEngine> candidates(std::min(candidatesPerContext, engines.size()));
+    std::partial_sort_copy(engines.begin(), engines.end(), candidates.begin(), candidates.end(),
+                           hasHigherScore);
+    return candidates;
 }
 
-auto findHolder(const std::vector<const ChoiceView *> &views, UpstreamId holder)
-    -> const ChoiceView *
+auto findHolder(const std::vector<const UpstreamView *> &views, UpstreamId holder)
+    -> const UpstreamView *
 {
     const auto found = std::find_if(views.begin(), views.end(), [holder](const auto *view) {
         return view->upstream->id == holder;
@@ -141,47 +142,47 @@
 } // namespace
 
 auto chooseEngine(std::uint64_t context, std::optional<UpstreamId> holder,
-                  const std::vector<ChoiceView> &usable, LoadBound bound) -> const Upstream *
+                  const std::vector<UpstreamView> &usable, LoadBound bound) -> const Upstream *
 {
     const auto views = bestTier(usable);
     const auto mean = meanLoad(usable);
-    const auto hasRoom = [&](const ChoiceView &view) { return isBelowBound(view, mean, bound); };
-    const auto *held = holder ? findHolder(views, *holder) : nullptr;
-    if (held != nullptr && hasRoom(*held))
-        return held->upstream;
-    const auto candidates = withHomes(context, views);
-    auto homes = bestHomes(candidates);
-    std::erase_if(homes, [&](const Candidate &home) {
-        return !hasRoom(*home.view) || home.view->memoryShare >= fullOfContexts;
+    const auto hasRoom = [&](const UpstreamView &view) { return isBelowBound(view, mean, bound); };
+    const auto *holderView = holder ? findHolder(views, *holder) : nullptr;
+    if (holderView != nullptr && hasRoom(*holderView))
+        return holderView->upstream;
+    const auto engines = scoreEngines(context, views);
+    auto candidates = topCandidates(engines);
+    std::erase_if(candidates, [&](const ScoredEngine &candidate) {
+        return !hasRoom(*candidate.view) || candidate.view->memoryShare >= fullContextShare;
     });
-    if (!homes.empty())
-        return leastLoaded(homes);
-    std::vector<Candidate> roomy;
-    std::copy_if(candidates.begin(), candidates.end(), std::back_inserter(roomy),
-                 [&](const Candidate &candidate) { return hasRoom(*candidate.view); });
-    return leastLoaded(roomy.empty() ? candidates : roomy);
+    if (!candidates.empty())
+        return leastLoaded(candidates);
+    std::vector<ScoredEngine> withRoom;
+    std::copy_if(engines.begin(), engines.end(), std::back_inserter(withRoom),
+                 [&](const ScoredEngine &engine) { return hasRoom(*engine.view); });
+    return leastLoaded(withRoom.empty() ? engines : withRoom);
 }
 
-auto homesOf(std::uint64_t context, const std::vector<ChoiceView> &usable)
+auto contextCandidates(std::uint64_t context, const std::vector<UpstreamView> &usable)
     -> std::vector<UpstreamId>
 {
-    std::vector<const ChoiceView *> views;
+    std::vector<const UpstreamView *> views;
     views.reserve(usable.size());
     for (const auto &view : usable)
         views.push_back(&view);
-    std::vector<UpstreamId> homes;
-    for (const auto &home : bestHomes(withHomes(context, views)))
-        homes.push_back(home.view->upstream->id);
-    return homes;
+    std::vector<UpstreamId> candidates;
+    for (const auto &candidate : topCandidates(scoreEngines(context, views)))
+        candidates.push_back(candidate.view->upstream->id);
+    return candidates;
 }
 
-auto chooseService(const std::vector<ChoiceView> &usable, std::string_view ownDataCenter,
+auto chooseService(const std::vector<UpstreamView> &usable, std::string_view ownDataCenter,
                    std::uint64_t draw) -> const Upstream *
 {
-    const auto candidates = bestTier(usable);
-    const ChoiceView *best = nullptr;
+    const auto upstreams = bestTier(usable);
+    const UpstreamView *best = nullptr;
     auto bestScore = std::numeric_limits<double>::max();
-    for (const auto *view : candidates) {
+    for (const auto *view : upstreams) {
         const auto busy = view->slowness * view->load / std::max(1U, view->upstream->slots);
         const auto away = view->upstream->dataCenter == ownDataCenter ? 0.0 : 0.1;
         const auto tie = static_cast<double>((draw ^ view->upstream->id) % 97) * 1e-4;
--- a/src/direct/context-map.cc
+++ b/src/direct/context-map.cc
@@ -5,26 +5,26 @@
 
 namespace applehatch::direct {
 
-auto ContextMap::put(const ContextPlace &place, Instant now) -> void
+auto ContextMap::put(const ContextPlace &placement, Instant now) -> void
 {
-    Held held;
-    if (const auto *known = held_.find(place.context, now)) {
-        held = *known;
-        tokensAt_[held.upstreams.front()] -= held.tokens;
+    Entry entry;
+    if (const auto *known = entries_.find(placement.context, now)) {
+        entry = *known;
+        tokensAt_[entry.upstreams.front()] -= entry.tokens;
     }
-    std::erase(held.upstreams, place.upstream);
-    held.upstreams.insert(held.upstreams.begin(), place.upstream);
-    if (held.upstreams.size() > placesEach)
-        held.upstreams.pop_back();
-    held.tokens = place.tokens;
-    tokensAt_[place.upstream] += place.tokens;
-    held_.put(place.context, std::move(held), now + lifetime);
+    std::erase(entry.upstreams, placement.upstream);
+    entry.upstreams.insert(entry.upstreams.begin(), placement.upstream);
+    if (entry.upstreams.size() > maxUpstreamsPerContext)
+        entry.upstreams.pop_back();
+    entry.tokens = placement.tokens;
+    tokensAt_[placement.upstream] += placement.tokens;
+    entries_.put(placement.context, std::move(entry), now + lifetime);
 }
 
-auto ContextMap::noteSent(const ContextPlace &place, Instant now) -> void
+auto ContextMap::noteSent(const ContextPlace &placement, Instant now) -> void
 {
-    put(place, now);
-    uses_.push_back({place, now});
+    put(placement, now);
+    uses_.push_back({placement, now});
     if (uses_.size() > mostTold)
         uses_.pop_front();
 }
@@ -37,37 +37,37 @@
 
 auto ContextMap::expire(Instant now) -> void
 {
-    if (now - countedAt_ < countsEach)
+    if (now - countedAt_ < recountInterval)
         return;
     countedAt_ = now;
-    held_.expire(now);
+    entries_.expire(now);
     tokensAt_.clear();
-    held_.forEach(now,
-                  [this](const Held &held) { tokensAt_[held.upstreams.front()] += held.tokens; });
+    entries_.forEach(
+        now, [this](const Entry &entry) { tokensAt_[entry.upstreams.front()] += entry.tokens; });
 }
 
-auto ContextMap::notePeer(const std::vector<ContextPlace> &places, Instant now) -> void
+auto ContextMap::notePeer(const std::vector<ContextPlace> &placements, Instant now) -> void
 {
-    for (const auto &place : places)
-        put(place, now);
+    for (const auto &placement : placements)
+        put(placement, now);
 }
 
 auto ContextMap::recentUses(Instant now, Duration within) -> std::vector<ContextPlace>
 {
-    while (!uses_.empty() && now - uses_.front().at > std::max(toldFor, within))
+    while (!uses_.empty() && now - uses_.front().at > std::max(reportWindow, within))
         uses_.pop_front();
-    std::vector<ContextPlace> places;
+    std::vector<ContextPlace> placements;
     for (const auto &use : uses_) {
-        if (std::find(places.begin(), places.end(), use.place) == places.end())
-            places.push_back(use.place);
+        if (std::find(placements.begin(), placements.end(), use.placement) == placements.end())
+            placements.push_back(use.placement);
     }
-    return places;
+    return placements;
 }
 
-auto ContextMap::places(std::uint64_t context, Instant now) const -> std::vector<UpstreamId>
+auto ContextMap::upstreamsOf(std::uint64_t context, Instant now) const -> std::vector<UpstreamId>
 {
-    const auto *held = held_.find(context, now);
-    return held == nullptr ? std::vector<UpstreamId>() : held->upstreams;
+    const auto *entry = entries_.find(context, now);
+    return entry == nullptr ? std::vector<UpstreamId>() : entry->upstreams;
 }
 
 } // namespace applehatch::direct
--- a/src/direct/directory.cc
+++ b/src/direct/directory.cc
@@ -20,7 +20,7 @@
 
 auto Configuration::add(Route route) -> void
 {
-    auto &routes = routesOf_[route.host];
+    auto &routes = routesByHost_[route.host];
     const auto longerFirst = [](const auto &held, const Route &added) {
         return held->prefix.size() >= added.prefix.size();
     };
@@ -33,13 +33,13 @@
     namesCustomers = true;
     const auto held = std::make_shared<const Customer>(std::move(customer));
     for (const auto &key : keys)
-        customerOf_[key] = held;
+        customersByKey_[key] = held;
 }
 
 auto Configuration::findRoute(std::string_view host, std::string_view path) const -> const Route *
 {
-    const auto routes = routesOf_.find(std::string(host));
-    if (routes == routesOf_.end())
+    const auto routes = routesByHost_.find(std::string(host));
+    if (routes == routesByHost_.end())
         return nullptr;
     for (const auto &route : routes->second) {
         if (path.starts_with(route->prefix))
@@ -50,8 +50,8 @@
 
 auto Configuration::findCustomer(const std::string &key) const -> const Customer *
 {
-    const auto found = customerOf_.find(key);
-    return found == customerOf_.end() ? nullptr : found->second.get();
+    const auto found = customersByKey_.find(key);
+    return found == customersByKey_.end() ? nullptr : found->second.get();
 }
 
 } // namespace applehatch::direct
--- a/src/direct/dispatcher.cc
+++ b/src/direct/dispatcher.cc
@@ -12,12 +12,12 @@
 using core::Failure;
 using core::Run;
 
-// Refused callers come back within this span. The shortest is about the time that one upstream
-// needs to finish a request; the longest leaves time for a second try within short deadlines.
-constexpr Duration earliestReturn = std::chrono::milliseconds(150);
-constexpr Duration returnSpread = std::chrono::milliseconds(350);
-// An engine that fails more than this share of its requests is not asked for a context: two
-// failures in a row exceed it.
+// Range of the retry delay for refused callers. The minimum is about the time in which one upstream
+// completes a request; the maximum leaves time for a retry within short deadlines.
+constexpr Duration minRetryDelay = std::chrono::milliseconds(150);
+constexpr Duration retrySpread = std::chrono::milliseconds(350);
+// An engine with a higher failure share is not asked for a context; two failures in a row exceed
+// it.
 constexpr double trustedFailureShare = 0.25;
 
 auto millisecondsText(Duration duration) -> std::string
@@ -26,20 +26,20 @@
     return std::to_string(count) + " ms";
 }
 
-// What decided, for the log.
-auto overloadText(const Choice &choice, const Verdict &verdict) -> std::string
+// Describes the inputs of the decision, for the log.
+auto overloadText(const Choice &choice, const AdmissionDecision &decision) -> std::string
 {
     return "least load " + std::to_string(choice.load) + " of "
         + std::to_string(choice.upstream.slots) + " slots, wait "
-        + millisecondsText(verdict.foreseenWait) + ", allowed "
-        + millisecondsText(verdict.patience);
+        + millisecondsText(decision.expectedWait) + ", allowed "
+        + millisecondsText(decision.maxWait);
 }
 
 } // namespace
 
 Dispatcher::Dispatcher(Self self, RetryLimits retryLimits, Instant startedAt)
     : self_(std::move(self))
-    , random_(self_.seed)
+    , randomState_(self_.seed)
     , budget_(retryLimits, startedAt)
 { }
 
@@ -55,14 +55,14 @@
 auto Dispatcher::setUpstreams(UpstreamList upstreams) -> void
 {
     const auto before = std::exchange(upstreams_, std::move(upstreams));
-    ofService_.clear();
-    indexOf_.clear();
+    indexesByService_.clear();
+    indexById_.clear();
     for (std::size_t i = 0; i < upstreams_.size(); ++i) {
-        ofService_[upstreams_[i].service].push_back(i);
-        indexOf_[upstreams_[i].id] = i;
+        indexesByService_[upstreams_[i].service].push_back(i);
+        indexById_[upstreams_[i].id] = i;
     }
     for (const auto &upstream : before) {
-        if (indexOf_.contains(upstream.id))
+        if (indexById_.contains(upstream.id))
             continue;
         health_.forget(upstream.id);
         loads_.forget(upstream.id);
@@ -71,8 +71,8 @@
 
 auto Dispatcher::findUpstream(UpstreamId id) const -> const Upstream *
 {
-    const auto found = indexOf_.find(id);
-    return found == indexOf_.end() ? nullptr : &upstreams_[found->second];
+    const auto found = indexById_.find(id);
+    return found == indexById_.end() ? nullptr : &upstreams_[found->second];
 }
 
 auto Dispatcher::mayTake(UpstreamId id) const -> bool
@@ -136,8 +136,8 @@
 auto Dispatcher::draw() -> std::uint64_t
 {
     constexpr std::uint64_t step = 0x9e3779b97f4a7c15U; // 2^64 / golden ratio.
-    random_ += step;
-    return core::stableHash({}, random_);
+    randomState_ += step;
+    return core::stableHash({}, randomState_);
 }
 
 auto Dispatcher::noteRequest(const Permit &permit, Instant now) -> void
@@ -145,12 +145,12 @@
     budget_.noteRequest(permit.serviceName, now);
 }
 
-auto Dispatcher::usableOf(const Permit &permit, const std::vector<UpstreamId> &tried,
-                          Instant now) const -> std::vector<ChoiceView>
+auto Dispatcher::usableUpstreams(const Permit &permit, const std::vector<UpstreamId> &tried,
+                                 Instant now) const -> std::vector<UpstreamView>
 {
-    std::vector<ChoiceView> usable;
-    const auto indexes = ofService_.find(permit.serviceName);
-    if (indexes == ofService_.end())
+    std::vector<UpstreamView> usable;
+    const auto indexes = indexesByService_.find(permit.serviceName);
+    if (indexes == indexesByService_.end())
         return usable;
     const auto memory = permit.service == nullptr ? 0 : permit.service->memoryTokens;
     for (const auto index : indexes->second) {
@@ -158,9 +158,9 @@
         if (upstream.state == UpstreamState::Leaving
             || std::find(tried.begin(), tried.end(), upstream.id) != tried.end())
             continue;
-        ChoiceView view;
+        UpstreamView view;
         view.upstream = &upstream;
-        view.load = loads_.fleet(upstream.id, now);
+        view.load = loads_.fleetLoad(upstream.id, now);
         view.failureShare = health_.failureShare(upstream.id, now);
         view.slowness = health_.slowness(upstream.id);
         view.paused = health_.isPaused(upstream.id, now);
@@ -176,10 +176,10 @@
 {
     if (suspects_.isSuspect(demand.fingerprint, now))
         return refusal(ErrorKind::CrashSuspect, "crashed upstreams before");
-    const auto usable = usableOf(permit, demand.tried, now);
+    const auto usable = usableUpstreams(permit, demand.tried, now);
     const auto isModel = !demand.prompt.empty();
     const auto context = sharedContext(demand.prompt).hash;
-    const auto holders = isModel ? contexts_.places(context, now) : std::vector<UpstreamId>();
+    const auto holders = isModel ? contexts_.upstreamsOf(context, now) : std::vector<UpstreamId>();
     const auto usedLast = holders.empty() ? std::nullopt : std::optional(holders.front());
     const auto *upstream = isModel ? chooseEngine(context, usedLast, usable, bound_)
                                    : chooseService(usable, self_.dataCenter, draw());
@@ -187,11 +187,12 @@
         return refusal(ErrorKind::NoUpstream, "no upstream of the service is known");
     Choice choice;
     choice.upstream = *upstream;
-    choice.load = loads_.fleet(upstream->id, now);
-    const auto verdict = admission_.decide(askOf(permit), {choice.load, upstream->slots});
-    choice.foreseenWait = verdict.foreseenWait;
-    if (!verdict.admitted && demand.tried.empty())
-        return Failure{ErrorKind::Overloaded, Run::NotRun, overloadText(choice, verdict),
+    choice.load = loads_.fleetLoad(upstream->id, now);
+    const auto decision =
+        admission_.decide(admissionRequestOf(permit), {choice.load, upstream->slots});
+    choice.foreseenWait = decision.expectedWait;
+    if (!decision.admitted && demand.tried.empty())
+        return Failure{ErrorKind::Overloaded, Run::NotRun, overloadText(choice, decision),
                        returnTime(permit, now)};
     choice.usable = static_cast<std::uint32_t>(usable.size());
     choice.heldContext = std::find(holders.begin(), holders.end(), upstream->id) != holders.end();
@@ -202,13 +203,14 @@
 }
 
 auto Dispatcher::fetchSource(std::uint64_t context, UpstreamId chosen,
-                             const std::vector<ChoiceView> &usable, Instant now) const
+                             const std::vector<UpstreamView> &usable, Instant now) const
     -> std::optional<Address>
 {
-    auto sources = contexts_.places(context, now);
-    // Routers that all began anew know no place; the context most likely is at its other home.
+    auto sources = contexts_.upstreamsOf(context, now);
+    // After all routers restarted, none knows where the context is held; most likely it is at its
+    // other candidate.
     if (sources.empty())
-        sources = homesOf(context, usable);
+        sources = contextCandidates(context, usable);
     std::erase(sources, chosen);
     return reachableHolder(sources, now);
 }
@@ -217,7 +219,7 @@
     -> std::optional<Address>
 {
     for (const auto id : holders) {
-        // One that leaves still gives away what it holds.
+        // A draining engine still serves the contexts that it holds.
         const auto *holder = findUpstream(id);
         const auto trusted = holder != nullptr && holder->state != UpstreamState::Doubtful
             && !health_.isPaused(id, now) && health_.failureShare(id, now) < trustedFailureShare;
@@ -230,7 +232,7 @@
 auto Dispatcher::hasOther(const Permit &permit, const Demand &demand, Instant now) const -> bool
 {
     return !suspects_.isSuspect(demand.fingerprint, now)
-        && !usableOf(permit, demand.tried, now).empty();
+        && !usableUpstreams(permit, demand.tried, now).empty();
 }
 
 auto Dispatcher::noteSent(UpstreamId upstream, const Demand &demand, Instant now) -> void
@@ -257,7 +259,7 @@
     return budget_.take(permit.serviceName, routers_, now);
 }
 
-auto Dispatcher::askOf(const Permit &permit) -> AdmissionAsk
+auto Dispatcher::admissionRequestOf(const Permit &permit) -> AdmissionRequest
 {
     const auto &route = *permit.route;
     return {permit.serviceName, permit.customer, permit.priority, route.priority, route.objective};
@@ -266,12 +268,13 @@
 auto Dispatcher::returnTime(const Permit &permit, Instant now) -> Duration
 {
     constexpr auto range = static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-    return admission_.returnTime(askOf(permit), static_cast<double>(draw()) / range, now);
+    return admission_.retryAfter(admissionRequestOf(permit), static_cast<double>(draw()) / range,
+                                 now);
 }
 
 auto Dispatcher::retryAfter() -> Duration
 {
-    return earliestReturn + Duration(static_cast<Duration::rep>(draw() % returnSpread.count()));
+    return minRetryDelay + Duration(static_cast<Duration::rep>(draw() % retrySpread.count()));
 }
 
 } // namespace applehatch::direct
--- a/src/direct/reader-book.cc
+++ b/src/direct/reader-book.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// An answer may come this much before or after its turn without a call to set it right.
+// An answer may come this much too early or too late without an extra call to correct its timing.
 constexpr Duration tolerance = ReaderBook::watchPeriod / 12;
 
 } // namespace
@@ -27,120 +27,121 @@
 auto ReaderBook::beat(Instant now) -> void
 {
     ++ownHeartbeat_;
-    ownBeatAt_ = now;
+    ownAnsweredAt_ = now;
 }
 
 auto ReaderBook::ownWord(std::uint64_t revision, Instant now) const -> std::optional<ReaderWord>
 {
-    if (!ownBeatAt_ || now - *ownBeatAt_ > trustedFor)
+    if (!ownAnsweredAt_ || now - *ownAnsweredAt_ > trustedFor)
         return std::nullopt;
-    return ReaderWord{self_, ownHeartbeat_, revision, now - *ownBeatAt_};
+    return ReaderWord{self_, ownHeartbeat_, revision, now - *ownAnsweredAt_};
 }
 
-auto ReaderBook::note(const ReaderWord &word, Instant now) -> void
+auto ReaderBook::note(const ReaderWord &status, Instant now) -> void
 {
-    if (word.router == self_)
+    if (status.router == self_)
         return;
-    std::erase_if(rows_,
-                  [now](const auto &entry) { return now - entry.second.beatAt > rememberedFor; });
-    auto &row = rows_[readerRank(word.router)];
-    // Of a process that started after the time of day was set back.
-    const auto isOtherLife = word.heartbeat < row.word.heartbeat && word.age < trustedFor
-        && now - row.beatAt > trustedFor;
-    if (word.heartbeat > row.word.heartbeat || isOtherLife) {
-        const auto isKnown = row.word.heartbeat > 0;
-        row = {word, now - word.age, false};
-        // It was not the registry that was quiet, nor its readers: their words came late.
-        if (isKnown && quietSince_ && row.beatAt > *quietSince_)
-            quietSince_.reset();
-    } else if (word.heartbeat == row.word.heartbeat) {
-        row.word.revision = std::max(row.word.revision, word.revision);
+    std::erase_if(entries_, [now](const auto &entry) {
+        return now - entry.second.answeredAt > heartbeatLifetime;
+    });
+    auto &entry = entries_[readerRank(status.router)];
+    // A new process that started after the time of day was set back has a lower heartbeat.
+    const auto isNewIncarnation = status.heartbeat < entry.status.heartbeat
+        && status.age < trustedFor && now - entry.answeredAt > trustedFor;
+    if (status.heartbeat > entry.status.heartbeat || isNewIncarnation) {
+        const auto isKnown = entry.status.heartbeat > 0;
+        entry = {status, now - status.age, false};
+        // The registry and its readers were not silent; the statuses of the readers were late.
+        if (isKnown && silentSince_ && entry.answeredAt > *silentSince_)
+            silentSince_.reset();
+    } else if (status.heartbeat == entry.status.heartbeat) {
+        entry.status.revision = std::max(entry.status.revision, status.revision);
     }
 }
 
 auto ReaderBook::noteStopped(const Address &router) -> void
 {
-    const auto found = rows_.find(readerRank(router));
-    if (found != rows_.end())
+    const auto found = entries_.find(readerRank(router));
+    if (found != entries_.end())
         found->second.stopped = true;
 }
 
 auto ReaderBook::setAsideWhenQuiet(Duration limit, Instant now) -> bool
 {
-    const auto youngest = youngestAnswer();
-    const auto isNews = youngest && youngest != quietSince_;
-    if (!isNews || now - *youngest <= limit)
+    const auto latest = latestAnswer();
+    const auto isNewer = latest && latest != silentSince_;
+    if (!isNewer || now - *latest <= limit)
         return false;
-    quietSince_ = youngest;
+    silentSince_ = latest;
     return true;
 }
 
 auto ReaderBook::readers(Instant now) const -> std::vector<ReaderWord>
 {
-    std::vector<ReaderWord> words;
-    for (const auto &[rank, row] : rows_) {
-        if (!counts(row, now))
+    std::vector<ReaderWord> statuses;
+    for (const auto &[rank, entry] : entries_) {
+        if (!isTrusted(entry, now))
             continue;
-        words.push_back(row.word);
-        words.back().age = now - row.beatAt;
+        statuses.push_back(entry.status);
+        statuses.back().age = now - entry.answeredAt;
     }
-    return words;
+    return statuses;
 }
 
 auto ReaderBook::told(std::optional<ReaderWord> own, Instant now) const -> std::vector<ReaderWord>
 {
-    auto words = readers(now);
-    words.resize(std::min(words.size(), RegistryReaders::wanted));
+    auto statuses = readers(now);
+    statuses.resize(std::min(statuses.size(), RegistryReaders::wanted));
     if (own)
-        words.push_back(std::move(*own));
-    return words;
+        statuses.push_back(std::move(*own));
+    return statuses;
 }
 
 auto ReaderBook::sinceAnswer(Instant now) const -> std::optional<Duration>
 {
-    const auto youngest = youngestAnswer();
-    return youngest ? std::optional<Duration>(now - *youngest) : std::nullopt;
+    const auto latest = latestAnswer();
+    return latest ? std::optional<Duration>(now - *latest) : std::nullopt;
 }
 
 auto ReaderBook::nextWatch(Instant now) const -> Duration
 {
-    std::optional<Instant> leadBeatAt; // The reader of lowest rank sets the pace.
-    std::size_t before = 0;
+    std::optional<Instant> leaderAnsweredAt; // The reader of lowest rank sets the schedule.
+    std::size_t lowerRanks = 0;
     std::size_t readers = 1;
     const auto ownRank = readerRank(self_);
-    for (const auto &[rank, row] : rows_) {
-        if (!counts(row, now))
+    for (const auto &[rank, entry] : entries_) {
+        if (!isTrusted(entry, now))
             continue;
         ++readers;
         if (rank > ownRank)
             continue;
-        ++before;
-        if (!leadBeatAt)
-            leadBeatAt = row.beatAt;
+        ++lowerRanks;
+        if (!leaderAnsweredAt)
+            leaderAnsweredAt = entry.answeredAt;
     }
-    if (!leadBeatAt || before >= RegistryReaders::wanted)
+    if (!leaderAnsweredAt || lowerRanks >= RegistryReaders::wanted)
         return watchPeriod;
-    const auto shares = static_cast<Duration::rep>(std::min(readers, RegistryReaders::wanted));
-    const auto own = watchPeriod * static_cast<Duration::rep>(before) / shares;
-    const auto sinceTurn = (now - *leadBeatAt + watchPeriod - own) % watchPeriod;
-    const auto wait = watchPeriod - sinceTurn;
+    const auto turns = static_cast<Duration::rep>(std::min(readers, RegistryReaders::wanted));
+    const auto ownOffset = watchPeriod * static_cast<Duration::rep>(lowerRanks) / turns;
+    const auto sinceOwnTurn = (now - *leaderAnsweredAt + watchPeriod - ownOffset) % watchPeriod;
+    const auto wait = watchPeriod - sinceOwnTurn;
     return wait < tolerance ? wait + watchPeriod : wait;
 }
 
-auto ReaderBook::youngestAnswer() const -> std::optional<Instant>
+auto ReaderBook::latestAnswer() const -> std::optional<Instant>
 {
-    auto youngest = ownBeatAt_;
-    for (const auto &[rank, row] : rows_) {
-        if (!youngest || row.beatAt > *youngest)
-            youngest = row.beatAt;
+    auto latest = ownAnsweredAt_;
+    for (const auto &[rank, entry] : entries_) {
+        if (!latest || entry.answeredAt > *latest)
+            latest = entry.answeredAt;
     }
-    return youngest;
+    return latest;
 }
 
-auto ReaderBook::counts(const Row &row, Instant now) const -> bool
+auto ReaderBook::isTrusted(const Entry &entry, Instant now) const -> bool
 {
-    const auto isAside = quietSince_ && row.beatAt <= *quietSince_;
-    return !row.stopped && !isAside && now - row.beatAt <= trustedFor;
+    const auto isDistrusted = silentSince_ && entry.answeredAt <= *silentSince_;
+    return !entry.stopped && !isDistrusted && now - entry.answeredAt <= trustedFor;
 }
 
 } // namespace applehatch::direct
--- a/src/direct/registry-readers.cc
+++ b/src/direct/registry-readers.cc
@@ -13,20 +13,20 @@
 auto RegistryReaders::decide(const HeardRanks &heard, Instant now) -> bool
 {
     const auto steps = static_cast<Duration::rep>(countLower(heard.alive) / wanted);
-    delay_ = std::min(longestDelay, steps * startStep);
+    delay_ = std::min(maxTakeoverDelay, steps * takeoverStep);
     if (countLower(heard.reading) < wanted) {
-        spareSince_.reset();
-        if (!missingSince_)
-            missingSince_ = now;
-        if (now - *missingSince_ >= delay_)
+        redundantSince_.reset();
+        if (!shortageSince_)
+            shortageSince_ = now;
+        if (now - *shortageSince_ >= delay_)
             reads_ = true;
         return reads_;
     }
-    missingSince_.reset();
-    if (!spareSince_)
-        spareSince_ = now;
-    const auto isNew = now - startedAt_ <= startsWithin;
-    if (isNew || now - *spareSince_ >= stopsAfter)
+    shortageSince_.reset();
+    if (!redundantSince_)
+        redundantSince_ = now;
+    const auto isNew = now - startedAt_ <= startupPeriod;
+    if (isNew || now - *redundantSince_ >= stopDelay)
         reads_ = false;
     return reads_;
 }
--- a/src/direct/registry-replica.cc
+++ b/src/direct/registry-replica.cc
@@ -37,9 +37,9 @@
     }
     for (const auto &key : missing)
         remove(key, now);
-    // What came and went between the two views is not known here.
+    // Entries that were both added and removed between the two snapshots are not known here.
     removals_.clear();
-    knownSince_ = snapshot.revision;
+    historySince_ = snapshot.revision;
     return true;
 }
 
@@ -64,14 +64,14 @@
     return changed;
 }
 
-auto RegistryReplica::apply(const RegistryNews &news, Instant now) -> bool
+auto RegistryReplica::apply(const RegistryNews &delta, Instant now) -> bool
 {
-    if (news.since > revision_ || news.revision <= revision_)
+    if (delta.since > revision_ || delta.revision <= revision_)
         return false;
-    if (news.since > 0)
-        return apply(news.changes, news.revision, now);
-    RegistrySnapshot whole{news.revision, {}};
-    for (const auto &change : news.changes) {
+    if (delta.since > 0)
+        return apply(delta.changes, delta.revision, now);
+    RegistrySnapshot whole{delta.revision, {}};
+    for (const auto &change : delta.changes) {
         if (!change.removed)
             whole.items.push_back(change.item);
     }
@@ -81,9 +81,9 @@
 auto RegistryReplica::noteRemoved(const std::string &key, std::uint64_t revision) -> void
 {
     removals_.push_back({key, revision});
-    if (removals_.size() <= mostRemovals)
+    if (removals_.size() <= maxRemovals)
         return;
-    knownSince_ = std::max(knownSince_, removals_.front().revision);
+    historySince_ = std::max(historySince_, removals_.front().revision);
     removals_.pop_front();
 }
 
@@ -116,21 +116,21 @@
 
 auto RegistryReplica::newsSince(std::uint64_t revision) const -> RegistryNews
 {
-    const auto isKnown = revision > 0 && revision >= knownSince_ && revision <= revision_;
-    RegistryNews news{isKnown ? revision : 0, revision_, {}};
+    const auto isKnown = revision > 0 && revision >= historySince_ && revision <= revision_;
+    RegistryNews delta{isKnown ? revision : 0, revision_, {}};
     for (const auto &[key, held] : items_) {
-        if (!held.doubtfulUntil && held.revision > news.since)
-            news.changes.push_back({{key, held.value, held.revision}, false});
+        if (!held.doubtfulUntil && held.revision > delta.since)
+            delta.changes.push_back({{key, held.value, held.revision}, false});
     }
     if (!isKnown)
-        return news;
+        return delta;
     for (const auto &removal : removals_) {
         const auto item = items_.find(removal.key);
         const auto isBack = item != items_.end() && !item->second.doubtfulUntil;
         if (removal.revision > revision && !isBack)
-            news.changes.push_back({{removal.key, {}, removal.revision}, true});
+            delta.changes.push_back({{removal.key, {}, removal.revision}, true});
     }
-    return news;
+    return delta;
 }
 
 } // namespace applehatch::direct
--- a/src/direct/retry-budget.cc
+++ b/src/direct/retry-budget.cc
@@ -19,7 +19,7 @@
     , startedAt_(startedAt)
 { }
 
-auto RetryBudget::trimmed(const std::string &service, Instant now) -> Window &
+auto RetryBudget::currentWindow(const std::string &service, Instant now) -> Window &
 {
     auto &window = windows_[service];
     dropBefore(window.requests, now - limits_.window);
@@ -29,19 +29,20 @@
 
 auto RetryBudget::noteRequest(const std::string &service, Instant now) -> void
 {
-    trimmed(service, now).requests.push_back(now);
+    currentWindow(service, now).requests.push_back(now);
 }
 
 auto RetryBudget::take(const std::string &service, std::size_t routers, Instant now) -> bool
 {
-    auto &window = trimmed(service, now);
-    // A process that was just killed may have spent its share moments ago. The next one under the
-    // same share starts with none and gains it over one window, or the two would spend it twice.
+    auto &window = currentWindow(service, now);
+    // A process that was just killed may have spent its share moments ago. Its successor starts
+    // with none and gains the share over one window; otherwise the two would spend it twice.
     const auto alive = std::chrono::duration<double>(now - startedAt_);
-    const auto grown = std::min(1.0, alive / std::chrono::duration<double>(limits_.window));
+    const auto windowFraction =
+        std::min(1.0, alive / std::chrono::duration<double>(limits_.window));
     const auto share = limits_.extra / static_cast<double>(std::max<std::size_t>(1, routers));
-    const auto own = limits_.ratio * static_cast<double>(window.requests.size());
-    const auto allowed = usedShare * (own + grown * share);
+    const auto ratioAllowance = limits_.ratio * static_cast<double>(window.requests.size());
+    const auto allowed = usedShare * (ratioAllowance + windowFraction * share);
     if (static_cast<double>(window.retries.size()) + 1 > allowed)
         return false;
     window.retries.push_back(now);
--- a/src/direct/stream-pace.cc
+++ b/src/direct/stream-pace.cc
@@ -4,20 +4,22 @@
 
 namespace applehatch::direct {
 
-auto StreamPace::noteStream(std::uint32_t mostTokens, Duration took) -> void
+auto StreamPace::noteStream(std::uint32_t maxTokens, Duration duration) -> void
 {
-    if (mostTokens < fewestTokens)
+    if (maxTokens < minTokens)
         return;
-    const auto each = std::chrono::duration<double, std::milli>(took).count() / mostTokens;
-    slowestTokenMs_ = std::max(each, fading * slowestTokenMs_);
+    const auto timePerToken =
+        std::chrono::duration<double, std::milli>(duration).count() / maxTokens;
+    slowestTokenMs_ = std::max(timePerToken, decayPerStream * slowestTokenMs_);
 }
 
-auto StreamPace::endsWithin(std::uint32_t mostTokens, Duration left) const -> bool
+auto StreamPace::endsWithin(std::uint32_t maxTokens, Duration remaining) const -> bool
 {
-    if (mostTokens == 0)
+    if (maxTokens == 0)
         return false;
-    const std::chrono::duration<double, std::milli> tokens(safety * slowestTokenMs_ * mostTokens);
-    return beforeFirstToken + std::chrono::duration_cast<Duration>(tokens) < left;
+    const std::chrono::duration<double, std::milli> tokens(safetyFactor * slowestTokenMs_
+                                                           * maxTokens);
+    return maxFirstTokenTime + std::chrono::duration_cast<Duration>(tokens) < remaining;
 }
 
 } // namespace applehatch::direct
--- a/src/direct/suspects.cc
+++ b/src/direct/suspects.cc
@@ -8,57 +8,58 @@
 
 auto pairKey(std::uint64_t peer, Fingerprint fingerprint) -> std::uint64_t
 {
-    constexpr std::uint64_t odd = 0x9e3779b97f4a7c15U; // 2^64 / golden ratio; spreads the bits.
-    return fingerprint ^ (peer * odd);
+    constexpr std::uint64_t multiplier =
+        0x9e3779b97f4a7c15U; // 2^64 / golden ratio; spreads the bits.
+    return fingerprint ^ (peer * multiplier);
 }
 
 } // namespace
 
-auto Suspects::noteCrash(Fingerprint fingerprint, Instant now) -> void
+auto CrashSuspects::noteCrash(Fingerprint fingerprint, Instant now) -> void
 {
-    const auto *held = own_.find(fingerprint, now);
-    own_.put(fingerprint, (held == nullptr ? 0 : *held) + 1, now + lifetime);
+    const auto *count = ownCounts_.find(fingerprint, now);
+    ownCounts_.put(fingerprint, (count == nullptr ? 0 : *count) + 1, now + lifetime);
 }
 
-auto Suspects::noteServed(Fingerprint fingerprint) -> void
+auto CrashSuspects::noteServed(Fingerprint fingerprint) -> void
 {
-    own_.erase(fingerprint);
+    ownCounts_.erase(fingerprint);
 }
 
-auto Suspects::notePeer(std::uint64_t peer, const std::vector<CrashCount> &counts, Instant now)
+auto CrashSuspects::notePeer(std::uint64_t peer, const std::vector<CrashCount> &counts, Instant now)
     -> void
 {
     for (const auto &count : counts) {
-        peers_.put(pairKey(peer, count.fingerprint), count.crashes, now + lifetime);
-        const auto *known = tellers_.find(count.fingerprint, now);
-        auto tellers = known == nullptr ? std::vector<std::uint64_t>() : *known;
-        if (std::find(tellers.begin(), tellers.end(), peer) == tellers.end())
-            tellers.push_back(peer);
-        tellers_.put(count.fingerprint, std::move(tellers), now + lifetime);
+        peerCounts_.put(pairKey(peer, count.fingerprint), count.crashes, now + lifetime);
+        const auto *known = reporters_.find(count.fingerprint, now);
+        auto reporters = known == nullptr ? std::vector<std::uint64_t>() : *known;
+        if (std::find(reporters.begin(), reporters.end(), peer) == reporters.end())
+            reporters.push_back(peer);
+        reporters_.put(count.fingerprint, std::move(reporters), now + lifetime);
     }
 }
 
-auto Suspects::crashes(Fingerprint fingerprint, Instant now) const -> std::uint32_t
+auto CrashSuspects::crashes(Fingerprint fingerprint, Instant now) const -> std::uint32_t
 {
-    const auto *own = own_.find(fingerprint, now);
+    const auto *own = ownCounts_.find(fingerprint, now);
     auto total = own == nullptr ? 0 : *own;
-    const auto *tellers = tellers_.find(fingerprint, now);
-    if (tellers == nullptr)
+    const auto *reporters = reporters_.find(fingerprint, now);
+    if (reporters == nullptr)
         return total;
-    for (const auto peer : *tellers) {
-        const auto *said = peers_.find(pairKey(peer, fingerprint), now);
-        total += said == nullptr ? 0 : *said;
+    for (const auto peer : *reporters) {
+        const auto *reported = peerCounts_.find(pairKey(peer, fingerprint), now);
+        total += reported == nullptr ? 0 : *reported;
     }
     return total;
 }
 
-auto Suspects::ownCounts(Instant now) const -> std::vector<CrashCount>
+auto CrashSuspects::ownCounts(Instant now) const -> std::vector<CrashCount>
 {
     std::vector<CrashCount> counts;
-    for (const auto fingerprint : own_.newest(told)) {
-        const auto *held = own_.find(fingerprint, now);
-        if (held != nullptr)
-            counts.push_back({fingerprint, *held});
+    for (const auto fingerprint : ownCounts_.newest(maxReportedCounts)) {
+        const auto *count = ownCounts_.find(fingerprint, now);
+        if (count != nullptr)
+            counts.push_back({fingerprint, *count});
     }
     return counts;
 }
--- a/src/direct/upstream-health.cc
+++ b/src/direct/upstream-health.cc
@@ -7,44 +7,45 @@
 
 namespace {
 
-auto faded(double share, Duration age) -> double
+auto decayed(double share, Duration age) -> double
 {
     if (share <= 0)
         return 0;
-    const auto halves = std::chrono::duration<double>(age)
+    const auto halfLives = std::chrono::duration<double>(age)
         / std::chrono::duration<double>(UpstreamHealth::halfLife);
-    return share * std::exp2(-std::max(0.0, halves));
+    return share * std::exp2(-std::max(0.0, halfLives));
 }
 
 } // namespace
 
 auto UpstreamHealth::note(UpstreamId upstream, Outcome outcome, Instant now) -> void
 {
-    auto &held = held_[upstream];
-    const auto before = faded(held.failureShare, now - held.notedAt);
+    auto &record = records_[upstream];
+    const auto before = decayed(record.failureShare, now - record.notedAt);
     const auto failed = outcome != Outcome::Served && outcome != Outcome::Refused;
-    held.failureShare = before + newestWeight * ((failed ? 1.0 : 0.0) - before);
-    held.notedAt = now;
+    record.failureShare = before + outcomeWeight * ((failed ? 1.0 : 0.0) - before);
+    record.notedAt = now;
     if (outcome == Outcome::Served || outcome == Outcome::Refused) {
-        held.pause = Duration(0);
-        held.pausedUntil = Instant();
+        record.pause = Duration(0);
+        record.pausedUntil = Instant();
         return;
     }
     const auto unreachable = outcome == Outcome::Unreachable || outcome == Outcome::Silent;
-    if (!unreachable || now < held.pausedUntil)
+    if (!unreachable || now < record.pausedUntil)
         return;
-    held.pause = std::clamp(2 * held.pause, firstPause, longestPause);
-    held.pausedUntil = now + held.pause;
+    record.pause = std::clamp(2 * record.pause, initialPause, maxPause);
+    record.pausedUntil = now + record.pause;
 }
 
 auto UpstreamHealth::noteFirstEvent(UpstreamId upstream, Duration wait) -> void
 {
-    auto &held = held_[upstream];
+    auto &record = records_[upstream];
     const auto ms = std::chrono::duration<double, std::milli>(wait).count();
-    ++held.firstEvents;
-    const auto weight = std::max(firstEventWeight, 1.0 / held.firstEvents);
-    held.firstEventMs += weight * (ms - held.firstEventMs);
-    constexpr double share = 0.1; // All upstreams together send several times as many.
+    ++record.firstEvents;
+    const auto weight = std::max(firstEventWeight, 1.0 / record.firstEvents);
+    record.firstEventMs += weight * (ms - record.firstEventMs);
+    constexpr double share =
+        0.1; // All upstreams together yield several times as many first events as one.
     ++allFirstEvents_;
     const auto weightOfAll =
         std::max(share * firstEventWeight, 1.0 / static_cast<double>(allFirstEvents_));
@@ -53,23 +54,24 @@
 
 auto UpstreamHealth::slowness(UpstreamId upstream) const -> double
 {
-    const auto found = held_.find(upstream);
-    const auto tooLittle = found == held_.end() || allFirstEventMs_ <= 0
-        || found->second.firstEvents < fewestFirstEvents;
+    const auto found = records_.find(upstream);
+    const auto tooLittle = found == records_.end() || allFirstEventMs_ <= 0
+        || found->second.firstEvents < minFirstEvents;
     return tooLittle ? 1 : found->second.firstEventMs / allFirstEventMs_;
 }
 
 auto UpstreamHealth::failureShare(UpstreamId upstream, Instant now) const -> double
 {
-    const auto found = held_.find(upstream);
-    return found == held_.end() ? 0
-                                : faded(found->second.failureShare, now - found->second.notedAt);
+    const auto found = records_.find(upstream);
+    return found == records_.end()
+        ? 0
+        : decayed(found->second.failureShare, now - found->second.notedAt);
 }
 
 auto UpstreamHealth::isPaused(UpstreamId upstream, Instant now) const -> bool
 {
-    const auto found = held_.find(upstream);
-    return found != held_.end() && now < found->second.pausedUntil;
+    const auto found = records_.find(upstream);
+    return found != records_.end() && now < found->second.pausedUntil;
 }
 
 } // namespace applehatch::direct
--- a/test/direct/admission-test.cc
+++ b/test/direct/admission-test.cc
@@ -15,12 +15,12 @@
 
 constexpr auto start = Instant(100s);
 
-auto chat(int priority = 0, const std::string &customer = {}) -> AdmissionAsk
+auto chat(int priority = 0, const std::string &customer = {}) -> AdmissionRequest
 {
     return {"pool", customer, priority, 0, 300ms};
 }
 
-/// What callers got of a load.
+/// Outcomes of the requests of one priority.
 struct Served
 {
     std::uint32_t asked = 0;
@@ -30,8 +30,8 @@
     [[nodiscard]] auto share() const -> double { return static_cast<double>(inTime) / asked; }
 };
 
-/// Engines that run `slots` requests of 2.5 s on average at once and queue the rest, and callers
-/// that come evenly. No network, no processes: only the decision and virtual time.
+/// Simulates, in virtual time and without network or processes, engines that run `slots` requests
+/// with a mean service time of 2.5 s and queue the rest. Requests arrive evenly.
 class Pool
 {
 public:
@@ -43,7 +43,7 @@
         : admits_(admits)
     { }
 
-    /// `perSecond` of each priority for eight seconds.
+    /// Sends `perSecond` requests of each priority for eight seconds.
     auto play(const std::map<int, double> &perSecond) -> std::map<int, Served>
     {
         std::map<int, Served> served;
@@ -79,18 +79,18 @@
         }
     }
 
-    auto ask(const AdmissionAsk &request, Instant now, Served &served) -> void
+    auto ask(const AdmissionRequest &request, Instant now, Served &served) -> void
     {
         ++served.asked;
         const auto least = std::min_element(load_.begin(), load_.end());
-        const auto verdict = admission_.decide(request, {*least, slots});
-        if (admits_ && !verdict.admitted) {
+        const auto decision = admission_.decide(request, {*least, slots});
+        if (admits_ && !decision.admitted) {
             ++served.refused;
             return;
         }
         const auto engine = static_cast<std::size_t>(least - load_.begin());
         auto &places = places_[engine];
-        // The slot that is free first.
+        // The slot that becomes free first.
         const auto place = std::min_element(places.begin(), places.end());
         const auto begins = std::max(*place, now);
         const auto held = drawHold();
@@ -122,9 +122,10 @@
 
 BOOST_AUTO_TEST_SUITE(admission)
 
-// Twice as many chats come as the engines can run: 614 a second of 307. Queued, all wait for longer
-// and longer, and after a second and a half nobody's first token is in time. Refused early, half
-// are served in time for as long as it lasts, and the others know at once.
+// The load is twice what the engines can run: 614 chats a second instead of 307. Queued, all wait
+// longer and longer, and after a second and a half no first token is in time. With early refusals
+// half of the chats are served in time for as long as the overload lasts, and the others are
+// refused at once.
 BOOST_AUTO_TEST_CASE(under_twice_the_load_half_are_served_in_time)
 {
     const auto before = Pool(false).play({{0, 614}}).at(0);
@@ -136,7 +137,7 @@
     BOOST_TEST(late < after.asked / 20, "hardly any is taken and then late");
 }
 
-// Nothing is refused as long as there is room.
+// No request is refused as long as there are free slots.
 BOOST_AUTO_TEST_CASE(a_load_that_fits_is_taken_whole)
 {
     const auto served = Pool(true).play({{0, 120}, {1, 80}, {2, 40}});
@@ -144,8 +145,8 @@
         BOOST_TEST(got.refused == 0U);
 }
 
-// A burst of urgent and less urgent chats at once. The urgent alone would fit; they must not be
-// turned away for the others, which get what is left.
+// Urgent and less urgent chats arrive in one burst. The urgent ones alone would fit and must not be
+// refused in favour of the others, which get the remaining slots.
 BOOST_AUTO_TEST_CASE(the_urgent_are_served_first)
 {
     const auto served = Pool(true).play({{0, 250}, {1, 400}});
@@ -154,22 +155,21 @@
     BOOST_TEST(served.at(1).share() < served.at(0).share());
 }
 
-// One route may answer later than another of the same priority. It must not take every place before
-// the other is let in.
+// A route has a longer objective than another of the same priority. It must not take every slot
+// before the other is admitted.
 BOOST_AUTO_TEST_CASE(a_longer_objective_gives_no_precedence)
 {
     Admission admission;
-    const AdmissionAsk drafts{"pool", "", 1, 0, 800ms};
-    const AdmissionAsk chats{"pool", "", 1, 0, 300ms};
+    const AdmissionRequest drafts{"pool", "", 1, 0, 800ms};
+    const AdmissionRequest chats{"pool", "", 1, 0, 300ms};
     admission.decide(chats, {0, 64});
     for (std::uint32_t load = 50; load < 100; ++load)
         BOOST_TEST(admission.decide(drafts, {load, 64}).admitted
                    == admission.decide(chats, {load, 64}).admitted);
 }
 
-// A router has just started and its first requests are all at one plain service with few slots. How
-// long these hold a slot is not known; refusing them on a guess would turn callers away for
-// nothing.
+// A router has just started, and its first requests all go to a service with few slots. Their
+// service time is not known yet; refusals based on a guess would turn callers away needlessly.
 BOOST_AUTO_TEST_CASE(nothing_is_refused_before_anything_was_served)
 {
     Admission admission;
@@ -179,7 +179,8 @@
     BOOST_TEST(!admission.decide(chat(2), {20, 6}).admitted);
 }
 
-// One customer sends eight times its usual and fills the engines. The others must still be let in.
+// One customer sends eight times its usual load and fills the engines. The others must still be
+// admitted.
 BOOST_AUTO_TEST_CASE(a_customer_beyond_its_share_gives_way)
 {
     Admission admission;
@@ -194,21 +195,21 @@
     BOOST_TEST(admission.decide(chat(0, "surging"), {40, 64}).admitted, "while there is room");
 }
 
-// Many were refused in the last seconds and will return. Told the same moment, they would all be
-// refused again; told a time that grows with their number, most find a place.
+// Many callers were refused recently and will retry. If all retried at the same moment, they would
+// all be refused again; with delays that grow with their number, most are admitted.
 BOOST_AUTO_TEST_CASE(returns_are_spread_over_what_the_refused_need)
 {
     Admission admission;
-    const auto first = admission.returnTime(chat(), 1.0, start);
+    const auto first = admission.retryAfter(chat(), 1.0, start);
     BOOST_TEST((first < 1s));
     for (int i = 0; i < 100; ++i)
         admission.noteDone(chat(), Pool::hold, start);
     Duration last{0};
     for (int i = 0; i < 150; ++i)
-        last = admission.returnTime(chat(), 1.0, start);
+        last = admission.retryAfter(chat(), 1.0, start);
     BOOST_TEST((last > 2s));
-    BOOST_TEST((admission.returnTime(chat(), 0.0, start) < 200ms), "some may come back soon");
-    BOOST_TEST((admission.returnTime(chat(), 1.0, start + 10s) < 1s),
+    BOOST_TEST((admission.retryAfter(chat(), 0.0, start) < 200ms), "some may come back soon");
+    BOOST_TEST((admission.retryAfter(chat(), 1.0, start + 10s) < 1s),
                "over as soon as the rush is");
 }
 
--- a/test/direct/choice-test.cc
+++ b/test/direct/choice-test.cc
@@ -34,9 +34,9 @@
     return made;
 }
 
-auto viewsOf(const UpstreamList &list) -> std::vector<ChoiceView>
+auto viewsOf(const UpstreamList &list) -> std::vector<UpstreamView>
 {
-    std::vector<ChoiceView> views;
+    std::vector<UpstreamView> views;
     for (const auto &upstream : list)
         views.push_back({.upstream = &upstream});
     return views;
@@ -60,17 +60,19 @@
     return configuration;
 }
 
-/// What a played minute came to.
+/// Results of a simulated minute.
 struct Played
 {
-    std::uint64_t readAgain = 0; ///< Contexts read at an engine though another held them.
-    std::uint64_t fetched = 0;   ///< Of these, fetched from an engine that held them.
-    double worstSkew = 0;        ///< Busiest engine over the mean of all, sampled.
+    std::uint64_t readAgain =
+        0; ///< Requests sent to an engine without the context while another held it.
+    std::uint64_t fetched =
+        0; ///< Those of `readAgain` whose context was fetched from an engine that held it.
+    double worstSkew = 0; ///< Highest sampled ratio of an engine's load, less 3, to the mean load.
     std::uint64_t requests = 0;
 };
 
-/// Three routers send 90 chats a second, of 180 contexts, to 12 engines; each runs for 2 s.
-/// This is a calm day of the smaller of the users' two deployments.
+/// Creates three routers. Together they send 90 chats a second, with 180 contexts, to 12 engines,
+/// where each chat runs for 2 s. This is a normal day of the smaller of the two deployments.
 auto newFleet(const UpstreamList &list, Instant now) -> std::vector<Dispatcher>
 {
     constexpr std::size_t routers = 3;
@@ -83,7 +85,8 @@
     return fleet;
 }
 
-/// `allLostAt`: all routers begin anew then, and what follows is counted alone.
+/// Simulates a minute of requests. At `allLostAt` all routers restart without state, and only later
+/// requests are counted.
 auto playMinute(bool tellPeers, std::optional<Instant> allLostAt = std::nullopt) -> Played
 {
     const auto list = engines(12);
@@ -158,10 +161,10 @@
 
 BOOST_AUTO_TEST_SUITE(choice)
 
-// Callers return to their contexts all day. Told by its peers where contexts are, a router reads
-// next to none of them anew, and what it does move is fetched. Without the telling, routers that
-// saw different loads sent one context to several engines, each of which read it: 9 of 100
-// requests.
+// Callers send requests with the same contexts all day. With placements reported by its peers, a
+// router has almost no context read again, and contexts that move to another engine are fetched.
+// Without the reports, routers that saw different loads sent one context to several engines, each
+// of which read it: 9 of 100 requests.
 BOOST_AUTO_TEST_CASE(shared_placements_spare_contexts_from_being_read_again)
 {
     const auto before = playMinute(false);
@@ -174,20 +177,20 @@
     BOOST_TEST(after.readAgain <= before.readAgain);
 }
 
-// All routers lose power at once. Those that begin anew know no context's place, though the engines
-// still hold nearly all; half of the callers come to the home that does not, and its engine asks
-// the other one.
+// All routers lose power at once. After the restart they know no placement, although the engines
+// still hold nearly all contexts. Half of the requests go to the candidate that does not hold the
+// context, and its engine fetches it from the other one.
 BOOST_AUTO_TEST_CASE(contexts_are_found_again_after_all_routers_were_lost)
 {
     const auto played = playMinute(true, start + 40s);
     BOOST_TEST_MESSAGE("after the loss, of " << played.requests << " requests: " << played.readAgain
                                              << " at another engine, " << played.fetched
                                              << " fetched");
-    BOOST_TEST(played.readAgain > 20U); // Else this would test nothing.
+    BOOST_TEST(played.readAgain > 20U); // Otherwise the next check would be vacuous.
     BOOST_TEST((played.readAgain - played.fetched) * 100 <= played.requests);
 }
 
-// The bound on an engine's load holds for all routers together: twice the mean and three.
+// The bound on an engine's load holds for all routers together: twice the mean plus three.
 BOOST_AUTO_TEST_CASE(no_engine_carries_more_than_twice_the_mean)
 {
     const auto played = playMinute(true);
@@ -195,8 +198,8 @@
     BOOST_TEST(played.worstSkew <= 2.0);
 }
 
-// A context comes back to the engine that used it last, unless that is over the bound; then a
-// second one takes it, and later requests stay there.
+// A context stays at the engine that used it last unless that engine is over the bound; then a
+// second engine takes it, and later requests stay there.
 BOOST_AUTO_TEST_CASE(a_context_stays_until_its_engine_is_full)
 {
     const auto list = engines(6);
@@ -210,7 +213,8 @@
     BOOST_TEST(chooseEngine(42, second->id, views, {}) == second);
 }
 
-// An engine fails half of its requests, or is not reachable. Others of its service take its chats.
+// An engine fails half of its requests or is unreachable. Other engines of its service take its
+// chats.
 BOOST_AUTO_TEST_CASE(failing_engines_are_left_out)
 {
     const auto list = engines(4);
@@ -226,7 +230,8 @@
     BOOST_TEST(chooseEngine(42, home->id, views, {}) != home);
 }
 
-// All upstreams fail alike: leaving out the worst would only load the rest, so nobody is left out.
+// All upstreams fail at the same rate. Excluding the worst would only overload the rest, so none is
+// excluded.
 BOOST_AUTO_TEST_CASE(nobody_is_left_out_when_all_fail_alike)
 {
     const auto list = engines(4);
@@ -245,8 +250,8 @@
     BOOST_TEST(chooseService({}, "here", 1) == nullptr);
 }
 
-// Plain calls go to the least loaded upstream, within the data centre where that makes no
-// difference.
+// Requests to services that are not models go to the least loaded upstream, in the same data centre
+// if the loads are equal.
 BOOST_AUTO_TEST_CASE(plain_calls_go_to_the_least_loaded_nearby)
 {
     auto list = engines(2);
@@ -258,21 +263,20 @@
     BOOST_TEST(chooseService(views, "there", 3) == &list[0]);
 }
 
-// A peer tells where it sent a context; an upstream that starts again under its name holds nothing,
-// and its new life has another id.
+// A peer reports where it sent a context. Placements expire when they are not used.
 BOOST_AUTO_TEST_CASE(places_are_learned_and_forgotten)
 {
     ContextMap contexts;
     contexts.noteSent({5, 1}, start);
     contexts.notePeer({{5, 2}}, start + 1s);
-    BOOST_TEST((contexts.places(5, start + 1s) == std::vector<UpstreamId>{2, 1}));
+    BOOST_TEST((contexts.upstreamsOf(5, start + 1s) == std::vector<UpstreamId>{2, 1}));
     BOOST_TEST(contexts.recentUses(start + 100ms).size() == 1);
     BOOST_TEST(contexts.recentUses(start + 2s).empty());
-    BOOST_TEST(contexts.places(5, start + 60s).empty());
+    BOOST_TEST(contexts.upstreamsOf(5, start + 60s).empty());
 }
 
-// A context that went to another engine, or that nobody asked for in half a minute, no longer
-// counts to an engine's memory; else engines would seem full for ever.
+// A context that moved to another engine, or that was not requested for half a minute, no longer
+// counts towards an engine's memory; otherwise engines would appear full forever.
 BOOST_AUTO_TEST_CASE(memory_of_contexts_that_moved_or_expired_is_free)
 {
     ContextMap contexts;
--- a/test/direct/directory-test.cc
+++ b/test/direct/directory-test.cc
@@ -50,8 +50,8 @@
     BOOST_TEST(held->findCustomer("key-3") == nullptr);
 }
 
-// Two versions arrive in the wrong order, as when a peer tells of an older one. Falling back would
-// let a revoked key in again.
+// Two versions arrive in the wrong order, as when a peer reports an older one. Falling back to it
+// would make a revoked key valid again.
 BOOST_AUTO_TEST_CASE(an_older_version_changes_nothing)
 {
     Dispatcher dispatcher({"here", 1}, {}, Instant());
--- a/test/direct/limits-test.cc
+++ b/test/direct/limits-test.cc
@@ -19,9 +19,9 @@
 
 BOOST_AUTO_TEST_SUITE(fleet_limits)
 
-// Upstreams fail all requests, and every router would repeat each of them. Three routers that never
+// Upstreams fail all requests, and every router would retry each of them. Three routers that never
 // hear one another keep the fleet's retries within the ratio and the extra in any window, also when
-// one of them is killed and starts again with a clean memory.
+// one of them is killed and restarts without state.
 BOOST_AUTO_TEST_CASE(retries_keep_to_the_budget_of_the_whole_fleet)
 {
     const RetryLimits limits{0.2, 10s, 52};
@@ -49,11 +49,11 @@
         const auto allowed = limits.ratio * static_cast<double>(requests.size()) + limits.extra;
         BOOST_REQUIRE(static_cast<double>(retries.size()) <= allowed);
     }
-    BOOST_TEST(granted > 600); // It is used, too: 7,200 requests allow about 1,700.
+    BOOST_TEST(granted > 600); // The budget is also used: 7,200 requests allow about 1,700.
 }
 
-// One upstream fails half of its requests while it calls itself well. Its share of failures shows
-// after a few answers and is forgotten some seconds after it has recovered.
+// An upstream fails half of its requests while it reports itself healthy. Its failure share rises
+// after a few answers and decays within seconds after it has recovered.
 BOOST_AUTO_TEST_CASE(an_upstream_is_judged_by_its_answers)
 {
     UpstreamHealth health;
@@ -65,8 +65,8 @@
 }
 
 // A router has just started and seen a few first events from each of four engines, three of them
-// equally fast. Counted as slow, these would get a lower bound and their contexts would scatter.
-// The one that is four times slower is told apart.
+// equally fast. If these counted as slow, they would get a lower bound and their contexts would
+// scatter. The fourth, which is four times slower, is recognized as slow.
 BOOST_AUTO_TEST_CASE(only_slow_engines_count_as_slow)
 {
     UpstreamHealth health;
@@ -78,8 +78,8 @@
     BOOST_TEST(health.slowness(4) > 2);
 }
 
-// An upstream's host is dark. It is left alone for a moment, for longer each time it fails again,
-// and taken back with its first answer.
+// An upstream's host does not respond. The upstream is paused, for longer after each further
+// failure, and used again after its first answer.
 BOOST_AUTO_TEST_CASE(an_unreachable_upstream_is_left_alone_for_a_while)
 {
     UpstreamHealth health;
@@ -92,11 +92,12 @@
     BOOST_TEST(!health.isPaused(1, start + 1260ms));
 }
 
-// A request crashes each upstream that runs it and comes back at another router each time. Three
-// crashes, wherever they were seen, are enough to refuse it; one that ran to its end is cleared.
+// A request crashes each upstream that runs it and is retried at a different router each time.
+// Three crashes, at whichever routers they were seen, suffice to refuse it; a request that ran to
+// completion is cleared.
 BOOST_AUTO_TEST_CASE(a_request_that_crashes_upstreams_is_known_to_all_routers)
 {
-    Suspects suspects;
+    CrashSuspects suspects;
     suspects.noteCrash(7, start);
     suspects.notePeer(1, {{7, 1}}, start);
     BOOST_TEST(!suspects.isSuspect(7, start));
@@ -108,21 +109,21 @@
     BOOST_TEST(!suspects.isSuspect(7, start + 1s));
 }
 
-// Each router sees a third of the requests at an upstream. With peers' counts the bound holds for
-// their sum; counts of a peer that fell silent are dropped.
+// Each router sees a third of the requests at an upstream. With the peers' counts the bound holds
+// for the sum; expired counts of a silent peer are dropped.
 BOOST_AUTO_TEST_CASE(loads_are_those_of_the_whole_fleet)
 {
-    LoadBook loads;
+    LoadTracker loads;
     loads.noteSent(1);
     loads.notePeer(11, {{1, 4}}, start);
     loads.notePeer(12, {{1, 5}}, start + 1s);
-    BOOST_TEST(loads.fleet(1, start + 1s) == 10);
-    BOOST_TEST(loads.fleet(1, start + 2s) == 6);
+    BOOST_TEST(loads.fleetLoad(1, start + 1s) == 10);
+    BOOST_TEST(loads.fleetLoad(1, start + 2s) == 6);
     loads.noteReport(1, 20, 2, start + 2s);
-    BOOST_TEST(loads.fleet(1, start + 2s) == 22);
+    BOOST_TEST(loads.fleetLoad(1, start + 2s) == 22);
     loads.noteSent(1);
-    BOOST_TEST(loads.fleet(1, start + 2s) == 23);
-    BOOST_TEST(loads.fleet(1, start + 3s) == 2);
+    BOOST_TEST(loads.fleetLoad(1, start + 2s) == 23);
+    BOOST_TEST(loads.fleetLoad(1, start + 3s) == 2);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/direct/memory-test.cc
+++ b/test/direct/memory-test.cc
@@ -1,4 +1,4 @@
-// Where contexts lie when the engines' memory is short.
+// Tests the distribution of contexts over engines with little memory.
 #include "applehatch/direct/dispatcher.h"
 
 #include <boost/test/unit_test.hpp>
@@ -17,7 +17,7 @@
 
 constexpr auto start = Instant(100s);
 
-/// Prompts kept in memory, the least recently used giving way.
+/// An LRU cache of prompts with a capacity in tokens.
 class PromptMemory
 {
 public:
@@ -25,7 +25,7 @@
         : capacity_(capacity)
     { }
 
-    /// Tokens that must be read: none when the prompt is kept.
+    /// Returns the number of tokens that must be read: 0 if the prompt is cached.
     auto use(std::uint64_t id, std::uint32_t tokens) -> std::uint32_t
     {
         const auto found = kept_.find(id);
@@ -91,12 +91,12 @@
 struct Reading
 {
     std::uint64_t byPool = 0;
-    std::uint64_t byOne = 0; ///< Had one engine all the memory of the pool.
+    std::uint64_t byOne = 0; ///< As if one engine had the memory of the whole pool.
 };
 
-/// A minute of 100 requests a second through five routers, which tell one another five times a
-/// second. 300 contexts of 500 to 40,000 tokens return, 1.2 million tokens in all; each request
-/// adds 500 tokens of its own.
+/// Simulates a minute of 100 requests a second through five routers, which exchange reports five
+/// times a second. Requests share 300 contexts of 500 to 40,000 tokens, 1.2 million tokens in all;
+/// each request adds 500 tokens of its own.
 auto playMinute(std::uint32_t memoryTokens) -> Reading
 {
     constexpr std::size_t routers = 5;
@@ -150,7 +150,7 @@
         running.emplace(now + 500ms + std::chrono::milliseconds(random() % 2000),
                         std::pair(router, id));
         auto &memory = memories.at(id);
-        const auto isCounted = now >= start + 10s; // By then each context was read once.
+        const auto isCounted = now >= start + 10s; // By then each context was read at least once.
         const auto here = memory.use(context, tokensOf[context]);
         const auto best = all.use(context, tokensOf[context]);
         reading.byPool += isCounted ? here : 0;
@@ -165,12 +165,14 @@
 
 BOOST_AUTO_TEST_SUITE(memory)
 
-// Some engines get more of the long contexts than they can keep while others have memory left, or a
-// context lies in several: it is pushed out before it is asked for again, and callers wait for it
-// to be read anew. The pool may read twice what one engine with all its memory would.
+// If some engines get more long contexts than they can keep while others have free memory, or if a
+// context is held by several engines, contexts are evicted before they are requested again, and
+// callers wait until they have been read again. The pool may read at most twice as many tokens as
+// one engine with all its memory would.
 BOOST_AUTO_TEST_CASE(contexts_fill_the_memory_of_a_pool_evenly)
 {
-    constexpr std::uint32_t shortMemory = 150000; // 1.5 times what returns, over the pool.
+    constexpr std::uint32_t shortMemory =
+        150000; // 1.5 times the size of all shared contexts, over the pool.
     const auto reading = playMinute(shortMemory);
     BOOST_TEST_MESSAGE("read again: " << reading.byPool << " tokens, " << reading.byOne
                                       << " by one engine with all the memory");
--- a/test/direct/registry-readers-test.cc
+++ b/test/direct/registry-readers-test.cc
@@ -11,7 +11,7 @@
 
 constexpr auto start = Instant(100s);
 
-/// A fleet in which every router hears at once which others read, unless it is down.
+/// A fleet in which every router immediately hears which others read, unless it is down.
 class Fleet
 {
 public:
@@ -65,8 +65,8 @@
 
 BOOST_AUTO_TEST_SUITE(registry_readers)
 
-// With one waiting watch for each router, 390 routers make 156 calls a second and as many again for
-// each change. Three watches serve a fleet of any size.
+// With one watch per router, 390 routers make 156 calls a second, and as many again for each
+// change. Three watches serve a fleet of any size.
 BOOST_AUTO_TEST_CASE(three_routers_read_for_a_fleet_of_any_size)
 {
     for (const std::size_t routers : {1U, 3U, 5U, 30U, 390U}) {
@@ -77,8 +77,8 @@
     }
 }
 
-// All readers of a fleet die in the same moment. The next three read at once: a change that is
-// accepted now must be in force everywhere within two seconds. The others let them.
+// All readers of a fleet die at the same moment. The next three read at once, because a change that
+// is accepted now must be in force everywhere within two seconds. The others do not begin to read.
 BOOST_AUTO_TEST_CASE(readers_that_die_are_replaced_at_once)
 {
     Fleet fleet(30);
@@ -92,9 +92,9 @@
     BOOST_TEST(fleet.readers().size() == RegistryReaders::wanted);
 }
 
-// The registry turns away all but one router, and that one has the highest rank. Those that are
-// turned away are alive and never read with success; the one that could must not wait for them for
-// long, since a change must be in force within two seconds.
+// The registry refuses all routers but one, which has the highest rank. The refused routers are
+// alive and never read successfully; the one that could must not wait for them for long, because a
+// change must be in force within two seconds.
 BOOST_AUTO_TEST_CASE(the_last_in_rank_reads_in_time)
 {
     RegistryReaders last(1000, start);
@@ -105,10 +105,11 @@
     BOOST_TEST(!last.decide(heard, start));
     heard.reading.clear();
     BOOST_TEST(!last.decide(heard, start + 10s));
-    BOOST_TEST(last.decide(heard, start + 10s + RegistryReaders::longestDelay));
+    BOOST_TEST(last.decide(heard, start + 10s + RegistryReaders::maxTakeoverDelay));
 }
 
-// A reader that comes and goes must not make others begin and stop with it; each costs a call.
+// A reader that repeatedly appears and disappears must not make others start and stop with it; each
+// start or stop costs a call.
 BOOST_AUTO_TEST_CASE(a_reader_that_comes_and_goes_stops_nobody)
 {
     Fleet fleet(4);
@@ -119,7 +120,7 @@
     BOOST_TEST(fleet.readers().size() == 3);
     for (int turn = 0; turn < 5; ++turn) {
         fleet.setDown(0, false);
-        fleet.runFor(RegistryReaders::stopsAfter - 100ms, now);
+        fleet.runFor(RegistryReaders::stopDelay - 100ms, now);
         BOOST_TEST(fleet.readers().size() == 4);
         fleet.setDown(0, true);
         fleet.runFor(1s, now);
--- a/test/direct/registry-replica-test.cc
+++ b/test/direct/registry-replica-test.cc
@@ -27,8 +27,9 @@
     BOOST_TEST(replica.revision() == 11);
 }
 
-// The registry was away, nobody could renew an entry, and all lapsed. Their owners are alive and
-// write them again within two seconds; dropped at once, callers would be refused for as long.
+// The registry was unreachable, no entry could be renewed, and all expired. Their owners are alive
+// and write them again within two seconds; if the entries were dropped at once, callers would be
+// refused for that time.
 BOOST_AUTO_TEST_CASE(entries_that_lapsed_in_an_outage_count_for_two_seconds)
 {
     RegistryReplica replica;
@@ -43,7 +44,7 @@
     BOOST_TEST(!replica.items().contains("upstream"));
 }
 
-// The same, and the owner comes back in time: the entry counts again without a gap.
+// After such an outage the owner writes its entry in time: the entry stays in force without a gap.
 BOOST_AUTO_TEST_CASE(an_entry_that_comes_back_is_doubted_no_more)
 {
     RegistryReplica replica;
@@ -56,7 +57,7 @@
     BOOST_TEST(!replica.expire(start + 20s));
 }
 
-// A peer that was cut off tells of an older state. What is known must not fall back.
+// A peer that was cut off sends an older state. The replica must not revert to it.
 BOOST_AUTO_TEST_CASE(an_older_snapshot_changes_nothing)
 {
     RegistryReplica replica;
@@ -80,8 +81,8 @@
     BOOST_TEST(given.changes.size() == 1);
 }
 
-// A router learns of each change from a peer. It is told what changed and what went, not the whole
-// registry, whose size grows with the fleet.
+// A router that does not read the registry gets each change from a peer: only the changes and
+// removals, not the whole registry, whose size grows with the fleet.
 BOOST_AUTO_TEST_CASE(a_peer_is_told_what_changed_since)
 {
     RegistryReplica reader;
@@ -100,8 +101,9 @@
     BOOST_TEST(!follower.apply(news, start), "the same news change nothing");
 }
 
-// An entry came and went while the peer itself had no view of the registry: it cannot tell of the
-// removal. It gives all entries, and the other router drops what is not among them.
+// An entry was added and removed while the peer itself could not see the registry, so it cannot
+// report the removal. It sends all entries, and the other router drops those that are not among
+// them.
 BOOST_AUTO_TEST_CASE(a_peer_with_a_gap_gives_all_entries)
 {
     RegistryReplica reader;
@@ -116,7 +118,7 @@
     BOOST_TEST(follower.items().size() == 1);
 }
 
-// News that begin later than what is known would leave out changes between.
+// Changes that begin after the current revision would leave out those in between.
 BOOST_AUTO_TEST_CASE(news_with_a_gap_change_nothing)
 {
     RegistryReplica follower;
--- a/test/direct/stream-pace-test.cc
+++ b/test/direct/stream-pace-test.cc
@@ -11,10 +11,10 @@
 
 BOOST_AUTO_TEST_SUITE(stream_pace)
 
-// A router that stops takes a stream which it expects to end in time. Callers allow for more tokens
-// than most answers have: here nine in ten end at a fifth of what they may have. One that uses all
-// of its 300 tokens takes 4.5 s at 15 ms each; expected at twice the mean pace, 3.5 s, it would be
-// taken with 4.2 s left, and its caller would see it cut in the middle.
+// A router that shuts down accepts a stream that it expects to end in time. Callers allow for more
+// tokens than most answers have: here nine in ten end at a fifth of the allowed number. A stream
+// that uses all of its 300 tokens takes 4.5 s at 15 ms each. An estimate of twice the mean time per
+// token would be 3.5 s, so the stream would be accepted with 4.2 s left and cut off in the middle.
 BOOST_AUTO_TEST_CASE(a_stream_that_uses_all_of_its_tokens_is_not_cut)
 {
     StreamPace pace;
@@ -24,7 +24,7 @@
     BOOST_TEST(pace.endsWithin(100, 4200ms));
 }
 
-// Engines that were crowded are quick again. Streams must not be refused for minutes after.
+// Engines that were overloaded are fast again. Streams must not be refused for minutes afterwards.
 BOOST_AUTO_TEST_CASE(a_slow_moment_is_forgotten)
 {
     StreamPace pace;
@@ -34,7 +34,8 @@
     BOOST_TEST(pace.endsWithin(300, 4200ms));
 }
 
-// The first token's wait says nothing of the pace, and an answer of a few tokens little.
+// The wait for the first token says nothing about the time per token, and an answer of a few tokens
+// says little.
 BOOST_AUTO_TEST_CASE(short_streams_do_not_count)
 {
     StreamPace pace;
