--- a/include/applehatch/direct/choice.h
+++ b/include/applehatch/direct/choice.h
@@ -16,11 +16,11 @@
     const Upstream *upstream = nullptr;
     std::uint32_t load = 0;  ///< Requests that all routers of the fleet have at the upstream.
     double failureShare = 0; ///< Estimated share of failures among its recent answers.
-    double slowness =
-        1; ///< Ratio of its mean time to first event to the mean of all upstreams; 1 is usual.
+    /// Ratio of its mean time to first event to the mean of all upstreams; 1 is usual.
+    double slowness = 1;
     bool paused = false; ///< Was unreachable recently and gets no requests for the time being.
-    double memoryShare =
-        0; ///< Share of its memory taken by contexts whose next request is expected there.
+    /// Share of its memory taken by contexts whose next request is expected there.
+    double memoryShare = 0;
 };
 
 /// Upper bound on an engine's load relative to the mean of its service: `factor` x mean + `slack`.
--- a/include/applehatch/direct/directory.h
+++ b/include/applehatch/direct/directory.h
@@ -42,8 +42,8 @@
     RouteKind kind = RouteKind::Unsafe;
     std::vector<RouteTarget> targets;
     Duration timeout{0}; ///< Limit on the time until the answer is complete.
-    Duration objective{
-        0}; ///< Target response time; answers within it are of full use to the caller.
+    /// Target response time; answers within it are of full use to the caller.
+    Duration objective{0};
     Duration eventPause{0};     ///< Target for the pause between two events of a stream.
     std::uint32_t attempts = 1; ///< Maximum number of upstreams that one request may be sent to.
     int priority = 0;           ///< 0 is the most urgent.
@@ -54,11 +54,11 @@
 struct Service
 {
     std::string name;
-    std::uint32_t maxConnections =
-        0; ///< Connections that one upstream accepts from all callers; 0 if not known.
+    /// Connections that one upstream accepts from all callers; 0 if not known.
+    std::uint32_t maxConnections = 0;
     bool isModel = false; ///< Its upstreams are engines, which keep prompts in memory.
-    std::uint32_t memoryTokens =
-        0; ///< Memory of one engine for requests and contexts, in tokens; 0 if not known.
+    /// Memory of one engine for requests and contexts, in tokens; 0 if not known.
+    std::uint32_t memoryTokens = 0;
     bool sharesContexts = false; ///< An engine can fetch a context from another.
 };
 
--- a/include/applehatch/direct/dispatcher.h
+++ b/include/applehatch/direct/dispatcher.h
@@ -69,7 +69,7 @@
 class Dispatcher
 {
 public:
-    Dispatcher(Self self, RetryLimits retryLimits, Instant startedAt);
+    Dispatcher(Self options, RetryLimits retryLimits, Instant startedAt);
 
     /// Installs a configuration. Returns false and changes nothing unless its version is newer than
     /// the current one.
@@ -99,25 +99,25 @@
 
     /// Selects an upstream that has not been tried; refuses a first attempt that would wait too
     /// long for a slot.
-    [[nodiscard]] auto choose(const Permit &permit, const Demand &demand, Instant now)
+    [[nodiscard]] auto choose(const Permit &permit, const Demand &input, Instant now)
         -> std::variant<Choice, core::Failure>;
 
     /// Whether a usable upstream remains that has not been tried.
-    [[nodiscard]] auto hasOther(const Permit &permit, const Demand &demand, Instant now) const
+    [[nodiscard]] auto hasOther(const Permit &permit, const Demand &input, Instant now) const
         -> bool;
 
-    auto noteSent(UpstreamId upstream, const Demand &demand, Instant now) -> void;
+    auto noteSent(UpstreamId upstream, const Demand &input, Instant now) -> void;
     /// Records that the request left `upstream`, with any outcome.
     auto noteDone(UpstreamId upstream) -> void { loads_.noteDone(upstream); }
     /// Counts the request for admission control from when it is sent until it leaves its upstream.
-    /// `held` is how long it occupied a slot, if it was served.
+    /// `serviceTime` is how long it occupied a slot, if it was served.
     auto noteTaken(const Permit &permit) -> void
     {
         admission_.noteSent(admissionRequestOf(permit));
     }
-    auto noteLeft(const Permit &permit, std::optional<Duration> held, Instant now) -> void
+    auto noteLeft(const Permit &permit, std::optional<Duration> serviceTime, Instant now) -> void
     {
-        admission_.noteDone(admissionRequestOf(permit), held, now);
+        admission_.noteDone(admissionRequestOf(permit), serviceTime, now);
     }
     auto noteOutcome(UpstreamId upstream, Outcome outcome, Instant now) -> void;
     /// Records that the first event of a request arrived after `wait`.
@@ -154,7 +154,7 @@
     [[nodiscard]] static auto admissionRequestOf(const Permit &permit) -> AdmissionRequest;
     [[nodiscard]] auto refusal(core::ErrorKind kind, std::string detail) -> core::Failure;
 
-    Self self_;
+    Self options_;
     std::uint64_t randomState_;
     ConfigurationPtr configuration_;
     UpstreamList upstreams_;
--- a/include/applehatch/direct/load-book.h
+++ b/include/applehatch/direct/load-book.h
@@ -66,8 +66,8 @@
     struct Report
     {
         std::uint32_t total = 0;
-        std::uint32_t ownAtReport =
-            0; // Own requests when the report arrived; later changes are added to it.
+        // Own requests when the report arrived; later changes are added to the report.
+        std::uint32_t ownAtReport = 0;
         Instant receivedAt;
     };
 
--- a/include/applehatch/direct/reader-book.h
+++ b/include/applehatch/direct/reader-book.h
@@ -51,8 +51,8 @@
     /// under way.
     static constexpr Duration heartbeatLifetime = 3 * trustedFor;
 
-    /// `firstHeartbeat` must be higher than any heartbeat of an earlier process at this address; it
-    /// is lower if the time of day was set back.
+    /// `firstHeartbeat` is higher than any heartbeat of an earlier process at this address, unless
+    /// the time of day was set back.
     ReaderBook(Address self, std::uint64_t firstHeartbeat);
 
     /// Records that the registry answered this router.
--- a/include/applehatch/direct/registry-readers.h
+++ b/include/applehatch/direct/registry-readers.h
@@ -52,8 +52,8 @@
     /// Share of the time limit for a change that may pass without the registry answering any
     /// router. The rest is for the takeover delay, the call and the propagation of the change.
     static constexpr double silenceShare = 0.65;
-    /// Lower limit of the silence that triggers a takeover. Three watches give an answer every 0.83
-    /// s, and its report takes up to 0.4 s to arrive. A shorter limit would make all routers call
+    /// Lower limit of the silence that triggers a takeover. With three watches an answer arrives
+    /// every 0.83 s, and its report takes up to 0.4 s. A shorter limit would make all routers call
     /// the registry again and again.
     static constexpr Duration minSilence = std::chrono::milliseconds(1250);
     /// Timeout of the first watch after this router begins to read; its answer proves that the
--- a/src/direct/directory.cc
+++ b/src/direct/directory.cc
@@ -21,8 +21,8 @@
 auto Configuration::add(Route route) -> void
 {
     auto &routes = routesByHost_[route.host];
-    const auto longerFirst = [](const auto &held, const Route &added) {
-        return held->prefix.size() >= added.prefix.size();
+    const auto longerFirst = [](const auto &existing, const Route &added) {
+        return existing->prefix.size() >= added.prefix.size();
     };
     const auto place = std::lower_bound(routes.begin(), routes.end(), route, longerFirst);
     routes.insert(place, std::make_shared<const Route>(std::move(route)));
@@ -31,9 +31,9 @@
 auto Configuration::add(Customer customer, const std::vector<std::string> &keys) -> void
 {
     namesCustomers = true;
-    const auto held = std::make_shared<const Customer>(std::move(customer));
+    const auto shared = std::make_shared<const Customer>(std::move(customer));
     for (const auto &key : keys)
-        customersByKey_[key] = held;
+        customersByKey_[key] = shared;
 }
 
 auto Configuration::findRoute(std::string_view host, std::string_view path) const -> const Route *
--- a/src/direct/dispatcher.cc
+++ b/src/direct/dispatcher.cc
@@ -37,9 +37,9 @@
 
 } // namespace
 
-Dispatcher::Dispatcher(Self self, RetryLimits retryLimits, Instant startedAt)
-    : self_(std::move(self))
-    , randomState_(self_.seed)
+Dispatcher::Dispatcher(Self options, RetryLimits retryLimits, Instant startedAt)
+    : options_(std::move(options))
+    , randomState_(options_.seed)
     , budget_(retryLimits, startedAt)
 { }
 
@@ -171,18 +171,18 @@
     return usable;
 }
 
-auto Dispatcher::choose(const Permit &permit, const Demand &demand, Instant now)
+auto Dispatcher::choose(const Permit &permit, const Demand &input, Instant now)
     -> std::variant<Choice, Failure>
 {
-    if (suspects_.isSuspect(demand.fingerprint, now))
+    if (suspects_.isSuspect(input.fingerprint, now))
         return refusal(ErrorKind::CrashSuspect, "crashed upstreams before");
-    const auto usable = usableUpstreams(permit, demand.tried, now);
-    const auto isModel = !demand.prompt.empty();
-    const auto context = sharedContext(demand.prompt).hash;
+    const auto usable = usableUpstreams(permit, input.tried, now);
+    const auto isModel = !input.prompt.empty();
+    const auto context = sharedContext(input.prompt).hash;
     const auto holders = isModel ? contexts_.upstreamsOf(context, now) : std::vector<UpstreamId>();
     const auto usedLast = holders.empty() ? std::nullopt : std::optional(holders.front());
     const auto *upstream = isModel ? chooseEngine(context, usedLast, usable, bound_)
-                                   : chooseService(usable, self_.dataCenter, draw());
+                                   : chooseService(usable, options_.dataCenter, draw());
     if (upstream == nullptr)
         return refusal(ErrorKind::NoUpstream, "no upstream of the service is known");
     Choice choice;
@@ -191,7 +191,7 @@
     const auto decision =
         admission_.decide(admissionRequestOf(permit), {choice.load, upstream->slots});
     choice.foreseenWait = decision.expectedWait;
-    if (!decision.admitted && demand.tried.empty())
+    if (!decision.admitted && input.tried.empty())
         return Failure{ErrorKind::Overloaded, Run::NotRun, overloadText(choice, decision),
                        returnTime(permit, now)};
     choice.usable = static_cast<std::uint32_t>(usable.size());
@@ -229,18 +229,18 @@
     return std::nullopt;
 }
 
-auto Dispatcher::hasOther(const Permit &permit, const Demand &demand, Instant now) const -> bool
+auto Dispatcher::hasOther(const Permit &permit, const Demand &input, Instant now) const -> bool
 {
-    return !suspects_.isSuspect(demand.fingerprint, now)
-        && !usableUpstreams(permit, demand.tried, now).empty();
+    return !suspects_.isSuspect(input.fingerprint, now)
+        && !usableUpstreams(permit, input.tried, now).empty();
 }
 
-auto Dispatcher::noteSent(UpstreamId upstream, const Demand &demand, Instant now) -> void
+auto Dispatcher::noteSent(UpstreamId upstream, const Demand &input, Instant now) -> void
 {
     loads_.noteSent(upstream);
-    if (demand.prompt.empty())
+    if (input.prompt.empty())
         return;
-    const auto context = sharedContext(demand.prompt);
+    const auto context = sharedContext(input.prompt);
     contexts_.noteSent({context.hash, upstream, context.tokens}, now);
 }
 
--- a/src/direct/registry-replica.cc
+++ b/src/direct/registry-replica.cc
@@ -26,13 +26,13 @@
     std::set<std::string> present;
     for (const auto &item : snapshot.items) {
         present.insert(item.key);
-        auto &held = items_[item.key];
-        if (held.revision <= item.revision)
-            held = {item.value, item.revision, std::nullopt};
+        auto &entry = items_[item.key];
+        if (entry.revision <= item.revision)
+            entry = {item.value, item.revision, std::nullopt};
     }
     std::vector<std::string> missing;
-    for (const auto &[key, held] : items_) {
-        if (!present.contains(key) && held.revision <= snapshot.revision)
+    for (const auto &[key, entry] : items_) {
+        if (!present.contains(key) && entry.revision <= snapshot.revision)
             missing.push_back(key);
     }
     for (const auto &key : missing)
@@ -118,9 +118,9 @@
 {
     const auto isKnown = revision > 0 && revision >= historySince_ && revision <= revision_;
     RegistryNews delta{isKnown ? revision : 0, revision_, {}};
-    for (const auto &[key, held] : items_) {
-        if (!held.doubtfulUntil && held.revision > delta.since)
-            delta.changes.push_back({{key, held.value, held.revision}, false});
+    for (const auto &[key, entry] : items_) {
+        if (!entry.doubtfulUntil && entry.revision > delta.since)
+            delta.changes.push_back({{key, entry.value, entry.revision}, false});
     }
     if (!isKnown)
         return delta;
--- a/src/direct/suspects.cc
+++ b/src/direct/suspects.cc
@@ -8,8 +8,8 @@
 
 auto pairKey(std::uint64_t peer, Fingerprint fingerprint) -> std::uint64_t
 {
-    constexpr std::uint64_t multiplier =
-        0x9e3779b97f4a7c15U; // 2^64 / golden ratio; spreads the bits.
+    // 2^64 / golden ratio; spreads the bits.
+    constexpr std::uint64_t multiplier = 0x9e3779b97f4a7c15U;
     return fingerprint ^ (peer * multiplier);
 }
 
--- a/src/direct/upstream-health.cc
+++ b/src/direct/upstream-health.cc
@@ -44,8 +44,8 @@
     ++record.firstEvents;
     const auto weight = std::max(firstEventWeight, 1.0 / record.firstEvents);
     record.firstEventMs += weight * (ms - record.firstEventMs);
-    constexpr double share =
-        0.1; // All upstreams together yield several times as many first events as one.
+    // All upstreams together yield several times as many first events as one.
+    constexpr double share = 0.1;
     ++allFirstEvents_;
     const auto weightOfAll =
         std::max(share * firstEventWeight, 1.0 / static_cast<double>(allFirstEvents_));
--- a/test/direct/admission-test.cc
+++ b/test/direct/admission-test.cc
@@ -21,7 +21,7 @@
 }
 
 /// Outcomes of the requests of one priority.
-struct Served
+struct Outcomes
 {
     std::uint32_t asked = 0;
     std::uint32_t inTime = 0;
@@ -37,25 +37,25 @@
 public:
     static constexpr std::size_t engines = 12;
     static constexpr std::uint32_t slots = 64;
-    static constexpr Duration hold = 2500ms;
+    static constexpr Duration meanServiceTime = 2500ms;
 
-    explicit Pool(bool admits)
-        : admits_(admits)
+    explicit Pool(bool refusesWhenBusy)
+        : refusesWhenBusy_(refusesWhenBusy)
     { }
 
     /// Sends `perSecond` requests of each priority for eight seconds.
-    auto play(const std::map<int, double> &perSecond) -> std::map<int, Served>
+    auto simulate(const std::map<int, double> &perSecond) -> std::map<int, Outcomes>
     {
-        std::map<int, Served> served;
+        std::map<int, Outcomes> outcomes;
         for (auto now = start; now < start + 8s; now += 1ms) {
             release(now);
             for (const auto &[priority, rate] : perSecond) {
                 due_[priority] += rate / 1000;
                 for (; due_[priority] >= 1; due_[priority] -= 1)
-                    ask(chat(priority), now, served[priority]);
+                    ask(chat(priority), now, outcomes[priority]);
             }
         }
-        return served;
+        return outcomes;
     }
 
 private:
@@ -64,7 +64,7 @@
         Instant at;
         int priority = 0;
         std::size_t engine = 0;
-        Duration held{0};
+        Duration serviceTime{0};
 
         auto operator>(const Done &other) const -> bool { return at > other.at; }
     };
@@ -75,44 +75,44 @@
             const auto done = done_.top();
             done_.pop();
             --load_[done.engine];
-            admission_.noteDone(chat(done.priority), done.held, now);
+            admission_.noteDone(chat(done.priority), done.serviceTime, now);
         }
     }
 
-    auto ask(const AdmissionRequest &request, Instant now, Served &served) -> void
+    auto ask(const AdmissionRequest &request, Instant now, Outcomes &outcomes) -> void
     {
-        ++served.asked;
+        ++outcomes.asked;
         const auto least = std::min_element(load_.begin(), load_.end());
         const auto decision = admission_.decide(request, {*least, slots});
-        if (admits_ && !decision.admitted) {
-            ++served.refused;
+        if (refusesWhenBusy_ && !decision.admitted) {
+            ++outcomes.refused;
             return;
         }
         const auto engine = static_cast<std::size_t>(least - load_.begin());
-        auto &places = places_[engine];
+        auto &slotsFreeAt = slotsFreeAt_[engine];
         // The slot that becomes free first.
-        const auto place = std::min_element(places.begin(), places.end());
-        const auto begins = std::max(*place, now);
-        const auto held = drawHold();
-        *place = begins + held;
+        const auto slotFreeAt = std::min_element(slotsFreeAt.begin(), slotsFreeAt.end());
+        const auto begins = std::max(*slotFreeAt, now);
+        const auto serviceTime = drawServiceTime();
+        *slotFreeAt = begins + serviceTime;
         ++load_[engine];
         admission_.noteSent(request);
-        done_.push({*place, request.priority, engine, held});
+        done_.push({*slotFreeAt, request.priority, engine, serviceTime});
         if (begins - now <= request.objective)
-            ++served.inTime;
+            ++outcomes.inTime;
     }
 
-    auto drawHold() -> Duration
+    auto drawServiceTime() -> Duration
     {
         std::exponential_distribution<double> drawn(1);
-        return std::chrono::duration_cast<Duration>(hold * drawn(random_));
+        return std::chrono::duration_cast<Duration>(meanServiceTime * drawn(random_));
     }
 
-    bool admits_;
+    bool refusesWhenBusy_;
     Admission admission_;
     std::mt19937 random_{20261203};
     std::vector<std::uint32_t> load_ = std::vector<std::uint32_t>(engines);
-    std::vector<std::vector<Instant>> places_ =
+    std::vector<std::vector<Instant>> slotsFreeAt_ =
         std::vector<std::vector<Instant>>(engines, std::vector<Instant>(slots));
     std::priority_queue<Done, std::vector<Done>, std::greater<>> done_;
     std::map<int, double> due_;
@@ -128,31 +128,31 @@
 // refused at once.
 BOOST_AUTO_TEST_CASE(under_twice_the_load_half_are_served_in_time)
 {
-    const auto before = Pool(false).play({{0, 614}}).at(0);
-    const auto after = Pool(true).play({{0, 614}}).at(0);
+    const auto before = Pool(false).simulate({{0, 614}}).at(0);
+    const auto after = Pool(true).simulate({{0, 614}}).at(0);
     BOOST_TEST_MESSAGE("in time without refusals " << before.share() << ", with " << after.share());
     BOOST_TEST(after.share() > 0.5);
     BOOST_TEST(after.share() > 1.2 * before.share());
     const auto late = after.asked - after.refused - after.inTime;
-    BOOST_TEST(late < after.asked / 20, "hardly any is taken and then late");
+    BOOST_TEST(late < after.asked / 20, "hardly any request is admitted and then late");
 }
 
 // No request is refused as long as there are free slots.
-BOOST_AUTO_TEST_CASE(a_load_that_fits_is_taken_whole)
+BOOST_AUTO_TEST_CASE(a_load_within_capacity_is_fully_admitted)
 {
-    const auto served = Pool(true).play({{0, 120}, {1, 80}, {2, 40}});
-    for (const auto &[priority, got] : served)
-        BOOST_TEST(got.refused == 0U);
+    const auto outcomes = Pool(true).simulate({{0, 120}, {1, 80}, {2, 40}});
+    for (const auto &[priority, outcome] : outcomes)
+        BOOST_TEST(outcome.refused == 0U);
 }
 
 // Urgent and less urgent chats arrive in one burst. The urgent ones alone would fit and must not be
 // refused in favour of the others, which get the remaining slots.
 BOOST_AUTO_TEST_CASE(the_urgent_are_served_first)
 {
-    const auto served = Pool(true).play({{0, 250}, {1, 400}});
-    BOOST_TEST(served.at(0).share() > 0.95);
-    BOOST_TEST(served.at(1).inTime > 0U);
-    BOOST_TEST(served.at(1).share() < served.at(0).share());
+    const auto outcomes = Pool(true).simulate({{0, 250}, {1, 400}});
+    BOOST_TEST(outcomes.at(0).share() > 0.95);
+    BOOST_TEST(outcomes.at(1).inTime > 0U);
+    BOOST_TEST(outcomes.at(1).share() < outcomes.at(0).share());
 }
 
 // A route has a longer objective than another of the same priority. It must not take every slot
@@ -185,14 +185,15 @@
 {
     Admission admission;
     admission.noteSent(chat(0, "a"));
-    admission.noteDone(chat(0, "a"), Pool::hold, start);
+    admission.noteDone(chat(0, "a"), Pool::meanServiceTime, start);
     for (int i = 0; i < 40; ++i)
         admission.noteSent(chat(0, "surging"));
     for (const auto *other : {"a", "b", "c"})
         admission.noteSent(chat(0, other));
     BOOST_TEST(!admission.decide(chat(0, "surging"), {63, 64}).admitted);
     BOOST_TEST(admission.decide(chat(0, "a"), {63, 64}).admitted);
-    BOOST_TEST(admission.decide(chat(0, "surging"), {40, 64}).admitted, "while there is room");
+    BOOST_TEST(admission.decide(chat(0, "surging"), {40, 64}).admitted,
+               "admitted while there are free slots");
 }
 
 // Many callers were refused recently and will retry. If all retried at the same moment, they would
@@ -203,14 +204,14 @@
     const auto first = admission.retryAfter(chat(), 1.0, start);
     BOOST_TEST((first < 1s));
     for (int i = 0; i < 100; ++i)
-        admission.noteDone(chat(), Pool::hold, start);
+        admission.noteDone(chat(), Pool::meanServiceTime, start);
     Duration last{0};
     for (int i = 0; i < 150; ++i)
         last = admission.retryAfter(chat(), 1.0, start);
     BOOST_TEST((last > 2s));
-    BOOST_TEST((admission.retryAfter(chat(), 0.0, start) < 200ms), "some may come back soon");
+    BOOST_TEST((admission.retryAfter(chat(), 0.0, start) < 200ms), "some may retry soon");
     BOOST_TEST((admission.retryAfter(chat(), 1.0, start + 10s) < 1s),
-               "over as soon as the rush is");
+               "delays shrink once the burst is over");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/direct/choice-test.cc
+++ b/test/direct/choice-test.cc
@@ -20,7 +20,7 @@
 
 auto engines(std::size_t count) -> UpstreamList
 {
-    UpstreamList made;
+    UpstreamList list;
     for (std::size_t i = 0; i < count; ++i) {
         Upstream upstream;
         upstream.instance = "engine-" + std::to_string(i);
@@ -29,9 +29,9 @@
         upstream.slots = 64;
         upstream.dataCenter = i % 2 == 0 ? "here" : "there";
         upstream.address = {"10.0.0." + std::to_string(i + 1), 80};
-        made.push_back(upstream);
+        list.push_back(upstream);
     }
-    return made;
+    return list;
 }
 
 auto viewsOf(const UpstreamList &list) -> std::vector<UpstreamView>
@@ -61,12 +61,12 @@
 }
 
 /// Results of a simulated minute.
-struct Played
+struct Results
 {
-    std::uint64_t readAgain =
-        0; ///< Requests sent to an engine without the context while another held it.
-    std::uint64_t fetched =
-        0; ///< Those of `readAgain` whose context was fetched from an engine that held it.
+    /// Requests sent to an engine without the context while another held it.
+    std::uint64_t misses = 0;
+    /// Those of `misses` whose context was fetched from an engine that held it.
+    std::uint64_t fetched = 0;
     double worstSkew = 0; ///< Highest sampled ratio of an engine's load, less 3, to the mean load.
     std::uint64_t requests = 0;
 };
@@ -85,9 +85,10 @@
     return fleet;
 }
 
-/// Simulates a minute of requests. At `allLostAt` all routers restart without state, and only later
-/// requests are counted.
-auto playMinute(bool tellPeers, std::optional<Instant> allLostAt = std::nullopt) -> Played
+/// Simulates a minute of requests. At `allRestartAt` all routers restart without state, and only
+/// later requests are counted.
+auto simulateMinute(bool reportToPeers, std::optional<Instant> allRestartAt = std::nullopt)
+    -> Results
 {
     const auto list = engines(12);
     auto fleet = newFleet(list, start);
@@ -101,25 +102,25 @@
     };
     std::priority_queue<Running> running;
     std::map<UpstreamId, int> atEngine;
-    std::map<std::uint64_t, std::set<UpstreamId>> heldAt;
+    std::map<std::uint64_t, std::set<UpstreamId>> holdersByContext;
     std::mt19937_64 random(20261203);
-    Played played;
-    auto nextTold = start;
+    Results results;
+    auto nextReport = start;
     for (auto now = start; now < start + 60s; now += 11ms) {
         while (!running.empty() && running.top().until <= now) {
             fleet[running.top().router].noteDone(running.top().upstream);
             --atEngine[running.top().upstream];
             running.pop();
         }
-        if (allLostAt && now >= *allLostAt) {
-            allLostAt.reset();
+        if (allRestartAt && now >= *allRestartAt) {
+            allRestartAt.reset();
             fleet = newFleet(list, now);
             running = {};
             atEngine.clear();
-            played = {};
+            results = {};
         }
-        if (tellPeers && now >= nextTold) {
-            nextTold = now + 200ms;
+        if (reportToPeers && now >= nextReport) {
+            nextReport = now + 200ms;
             for (std::size_t from = 0; from < routers; ++from) {
                 for (std::size_t to = 0; to < routers; ++to) {
                     if (from == to)
@@ -131,30 +132,30 @@
         }
         const auto router = random() % routers;
         const auto context = random() % 180;
-        Demand demand;
-        demand.prompt = {{context, 10000}, {random(), 1000}};
+        Demand input;
+        input.prompt = {{context, 10000}, {random(), 1000}};
         auto &dispatcher = fleet[router];
         const auto permit = std::get<Permit>(dispatcher.admit("a", "/", std::nullopt));
-        const auto choice = std::get<Choice>(dispatcher.choose(permit, demand, now));
+        const auto choice = std::get<Choice>(dispatcher.choose(permit, input, now));
         const auto id = choice.upstream.id;
-        auto &holders = heldAt[context];
+        auto &holders = holdersByContext[context];
         if (!holders.contains(id) && !holders.empty()) {
-            ++played.readAgain;
+            ++results.misses;
             const auto isHolder = [&](const Upstream &upstream) {
                 return choice.fetchFrom == upstream.address && holders.contains(upstream.id);
             };
-            played.fetched += std::any_of(list.begin(), list.end(), isHolder) ? 1 : 0;
+            results.fetched += std::any_of(list.begin(), list.end(), isHolder) ? 1 : 0;
         }
         holders.insert(id);
-        dispatcher.noteSent(id, demand, now);
+        dispatcher.noteSent(id, input, now);
         ++atEngine[id];
-        ++played.requests;
+        ++results.requests;
         running.push({now + 1s + std::chrono::milliseconds(random() % 2000), router, id});
         const auto mean = static_cast<double>(running.size()) / static_cast<double>(list.size());
         if (now > start + 5s)
-            played.worstSkew = std::max(played.worstSkew, (atEngine[id] - 3) / mean);
+            results.worstSkew = std::max(results.worstSkew, (atEngine[id] - 3) / mean);
     }
-    return played;
+    return results;
 }
 
 } // namespace
@@ -167,35 +168,35 @@
 // of which read it: 9 of 100 requests.
 BOOST_AUTO_TEST_CASE(shared_placements_spare_contexts_from_being_read_again)
 {
-    const auto before = playMinute(false);
-    const auto after = playMinute(true);
+    const auto before = simulateMinute(false);
+    const auto after = simulateMinute(true);
     BOOST_TEST_MESSAGE("moved to another engine, of "
-                       << after.requests << " requests: " << before.readAgain << " alone, "
-                       << after.readAgain << " told by peers");
-    const auto readAnew = after.readAgain - after.fetched;
+                       << after.requests << " requests: " << before.misses << " alone, "
+                       << after.misses << " with reports from peers");
+    const auto readAnew = after.misses - after.fetched;
     BOOST_TEST(readAnew * 100 <= after.requests); // At most one in a hundred.
-    BOOST_TEST(after.readAgain <= before.readAgain);
+    BOOST_TEST(after.misses <= before.misses);
 }
 
 // All routers lose power at once. After the restart they know no placement, although the engines
 // still hold nearly all contexts. Half of the requests go to the candidate that does not hold the
 // context, and its engine fetches it from the other one.
-BOOST_AUTO_TEST_CASE(contexts_are_found_again_after_all_routers_were_lost)
+BOOST_AUTO_TEST_CASE(contexts_are_found_again_after_all_routers_restart)
 {
-    const auto played = playMinute(true, start + 40s);
-    BOOST_TEST_MESSAGE("after the loss, of " << played.requests << " requests: " << played.readAgain
-                                             << " at another engine, " << played.fetched
+    const auto results = simulateMinute(true, start + 40s);
+    BOOST_TEST_MESSAGE("after the loss, of " << results.requests << " requests: " << results.misses
+                                             << " at another engine, " << results.fetched
                                              << " fetched");
-    BOOST_TEST(played.readAgain > 20U); // Otherwise the next check would be vacuous.
-    BOOST_TEST((played.readAgain - played.fetched) * 100 <= played.requests);
+    BOOST_TEST(results.misses > 20U); // Otherwise the next check would be vacuous.
+    BOOST_TEST((results.misses - results.fetched) * 100 <= results.requests);
 }
 
 // The bound on an engine's load holds for all routers together: twice the mean plus three.
 BOOST_AUTO_TEST_CASE(no_engine_carries_more_than_twice_the_mean)
 {
-    const auto played = playMinute(true);
-    BOOST_TEST_MESSAGE("busiest engine, less 3, over the mean: " << played.worstSkew);
-    BOOST_TEST(played.worstSkew <= 2.0);
+    const auto results = simulateMinute(true);
+    BOOST_TEST_MESSAGE("busiest engine, less 3, over the mean: " << results.worstSkew);
+    BOOST_TEST(results.worstSkew <= 2.0);
 }
 
 // A context stays at the engine that used it last unless that engine is over the bound; then a
@@ -204,35 +205,35 @@
 {
     const auto list = engines(6);
     auto views = viewsOf(list);
-    const auto *home = chooseEngine(42, std::nullopt, views, {});
-    BOOST_TEST(chooseEngine(42, home->id, views, {}) == home);
+    const auto *first = chooseEngine(42, std::nullopt, views, {});
+    BOOST_TEST(chooseEngine(42, first->id, views, {}) == first);
     for (auto &view : views)
-        view.load = view.upstream == home ? 20 : 4;
-    const auto *second = chooseEngine(42, home->id, views, {});
-    BOOST_TEST(second != home);
+        view.load = view.upstream == first ? 20 : 4;
+    const auto *second = chooseEngine(42, first->id, views, {});
+    BOOST_TEST(second != first);
     BOOST_TEST(chooseEngine(42, second->id, views, {}) == second);
 }
 
 // An engine fails half of its requests or is unreachable. Other engines of its service take its
 // chats.
-BOOST_AUTO_TEST_CASE(failing_engines_are_left_out)
+BOOST_AUTO_TEST_CASE(failing_engines_are_avoided)
 {
     const auto list = engines(4);
     auto views = viewsOf(list);
-    const auto *home = chooseEngine(42, std::nullopt, views, {});
+    const auto *first = chooseEngine(42, std::nullopt, views, {});
     for (auto &view : views)
-        view.failureShare = view.upstream == home ? 0.5 : 0.02;
-    BOOST_TEST(chooseEngine(42, home->id, views, {}) != home);
+        view.failureShare = view.upstream == first ? 0.5 : 0.02;
+    BOOST_TEST(chooseEngine(42, first->id, views, {}) != first);
     for (auto &view : views) {
         view.failureShare = 0;
-        view.paused = view.upstream == home;
+        view.paused = view.upstream == first;
     }
-    BOOST_TEST(chooseEngine(42, home->id, views, {}) != home);
+    BOOST_TEST(chooseEngine(42, first->id, views, {}) != first);
 }
 
 // All upstreams fail at the same rate. Excluding the worst would only overload the rest, so none is
 // excluded.
-BOOST_AUTO_TEST_CASE(nobody_is_left_out_when_all_fail_alike)
+BOOST_AUTO_TEST_CASE(no_engine_is_excluded_when_all_fail_alike)
 {
     const auto list = engines(4);
     auto views = viewsOf(list);
@@ -244,7 +245,7 @@
     BOOST_TEST(chosen.size() == 4);
 }
 
-BOOST_AUTO_TEST_CASE(nothing_usable_is_said)
+BOOST_AUTO_TEST_CASE(no_usable_upstream_gives_null)
 {
     BOOST_TEST(chooseEngine(1, std::nullopt, {}, {}) == nullptr);
     BOOST_TEST(chooseService({}, "here", 1) == nullptr);
@@ -264,7 +265,7 @@
 }
 
 // A peer reports where it sent a context. Placements expire when they are not used.
-BOOST_AUTO_TEST_CASE(places_are_learned_and_forgotten)
+BOOST_AUTO_TEST_CASE(placements_are_learned_and_expire)
 {
     ContextMap contexts;
     contexts.noteSent({5, 1}, start);
--- a/test/direct/directory-test.cc
+++ b/test/direct/directory-test.cc
@@ -36,18 +36,18 @@
 
 BOOST_AUTO_TEST_CASE(the_longest_prefix_wins)
 {
-    const auto held = configuration(1);
-    BOOST_TEST(held->findRoute("a.example", "/a/b/c")->name == "/a/b/");
-    BOOST_TEST(held->findRoute("a.example", "/a/bc")->name == "/a/");
-    BOOST_TEST(held->findRoute("a.example", "/x")->name == "/");
-    BOOST_TEST(held->findRoute("b.example", "/a/") == nullptr);
+    const auto loaded = configuration(1);
+    BOOST_TEST(loaded->findRoute("a.example", "/a/b/c")->name == "/a/b/");
+    BOOST_TEST(loaded->findRoute("a.example", "/a/bc")->name == "/a/");
+    BOOST_TEST(loaded->findRoute("a.example", "/x")->name == "/");
+    BOOST_TEST(loaded->findRoute("b.example", "/a/") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(keys_name_their_customer)
+BOOST_AUTO_TEST_CASE(keys_identify_their_customer)
 {
-    const auto held = configuration(1);
-    BOOST_TEST(held->findCustomer("key-2")->name == "acme");
-    BOOST_TEST(held->findCustomer("key-3") == nullptr);
+    const auto loaded = configuration(1);
+    BOOST_TEST(loaded->findCustomer("key-2")->name == "acme");
+    BOOST_TEST(loaded->findCustomer("key-3") == nullptr);
 }
 
 // Two versions arrive in the wrong order, as when a peer reports an older one. Falling back to it
@@ -63,13 +63,13 @@
 // A route is split between two services by weight; each gets its share of the requests.
 BOOST_AUTO_TEST_CASE(a_split_route_keeps_to_its_weights)
 {
-    auto held = std::make_shared<Configuration>();
-    held->version = 1;
+    auto loaded = std::make_shared<Configuration>();
+    loaded->version = 1;
     auto split = route("/", "");
     split.targets = {{"old", 90}, {"new", 10}};
-    held->add(split);
+    loaded->add(split);
     Dispatcher dispatcher({"here", 1}, {}, Instant());
-    dispatcher.setConfiguration(held);
+    dispatcher.setConfiguration(loaded);
     int toNew = 0;
     for (int i = 0; i < 2000; ++i) {
         const auto admitted = dispatcher.admit("a.example", "/x", std::nullopt);
--- a/test/direct/limits-test.cc
+++ b/test/direct/limits-test.cc
@@ -80,7 +80,7 @@
 
 // An upstream's host does not respond. The upstream is paused, for longer after each further
 // failure, and used again after its first answer.
-BOOST_AUTO_TEST_CASE(an_unreachable_upstream_is_left_alone_for_a_while)
+BOOST_AUTO_TEST_CASE(an_unreachable_upstream_is_paused)
 {
     UpstreamHealth health;
     health.note(1, Outcome::Unreachable, start);
--- a/test/direct/memory-test.cc
+++ b/test/direct/memory-test.cc
@@ -28,17 +28,17 @@
     /// Returns the number of tokens that must be read: 0 if the prompt is cached.
     auto use(std::uint64_t id, std::uint32_t tokens) -> std::uint32_t
     {
-        const auto found = kept_.find(id);
-        if (found != kept_.end()) {
+        const auto found = cached_.find(id);
+        if (found != cached_.end()) {
             order_.splice(order_.begin(), order_, found->second);
             return 0;
         }
         order_.push_front({id, tokens});
-        kept_[id] = order_.begin();
+        cached_[id] = order_.begin();
         used_ += tokens;
         while (used_ > capacity_) {
             used_ -= order_.back().second;
-            kept_.erase(order_.back().first);
+            cached_.erase(order_.back().first);
             order_.pop_back();
         }
         return tokens;
@@ -50,13 +50,13 @@
     std::uint64_t capacity_;
     std::uint64_t used_ = 0;
     Order order_;
-    std::unordered_map<std::uint64_t, Order::iterator> kept_;
+    std::unordered_map<std::uint64_t, Order::iterator> cached_;
 };
 
 auto engines() -> UpstreamList
 {
     constexpr std::size_t count = 12;
-    UpstreamList made;
+    UpstreamList list;
     for (std::size_t i = 0; i < count; ++i) {
         Upstream upstream;
         upstream.instance = "engine-" + std::to_string(i);
@@ -64,9 +64,9 @@
         upstream.service = "pool";
         upstream.slots = 128;
         upstream.address = {"10.0.0." + std::to_string(i + 1), 80};
-        made.push_back(upstream);
+        list.push_back(upstream);
     }
-    return made;
+    return list;
 }
 
 auto configurationOf(std::uint32_t memoryTokens) -> ConfigurationPtr
@@ -88,16 +88,16 @@
     return configuration;
 }
 
-struct Reading
+struct TokensRead
 {
     std::uint64_t byPool = 0;
-    std::uint64_t byOne = 0; ///< As if one engine had the memory of the whole pool.
+    std::uint64_t bySingleEngine = 0; ///< As if one engine had the memory of the whole pool.
 };
 
 /// Simulates a minute of 100 requests a second through five routers, which exchange reports five
 /// times a second. Requests share 300 contexts of 500 to 40,000 tokens, 1.2 million tokens in all;
 /// each request adds 500 tokens of its own.
-auto playMinute(std::uint32_t memoryTokens) -> Reading
+auto simulateMinute(std::uint32_t memoryTokens) -> TokensRead
 {
     constexpr std::size_t routers = 5;
     constexpr std::uint32_t ownTokens = 500;
@@ -118,16 +118,16 @@
         memories.emplace(upstream.id, PromptMemory(memoryTokens));
     PromptMemory all(std::uint64_t{memoryTokens} * list.size());
     std::multimap<Instant, std::pair<std::size_t, UpstreamId>> running;
-    Reading reading;
-    auto nextTold = start;
+    TokensRead tokensRead;
+    auto nextReport = start;
     for (auto now = start; now < start + 60s; now += 10ms) {
         while (!running.empty() && running.begin()->first <= now) {
             const auto [router, upstream] = running.begin()->second;
             fleet[router].noteDone(upstream);
             running.erase(running.begin());
         }
-        if (now >= nextTold) {
-            nextTold = now + 200ms;
+        if (now >= nextReport) {
+            nextReport = now + 200ms;
             for (std::size_t from = 0; from < routers; ++from) {
                 for (std::size_t to = 0; to < routers; ++to) {
                     if (from == to)
@@ -141,24 +141,24 @@
         const auto router = random() % routers;
         const auto context = random() % tokensOf.size();
         const auto own = random();
-        Demand demand;
-        demand.prompt = {{context, tokensOf[context]}, {own, ownTokens}};
+        Demand input;
+        input.prompt = {{context, tokensOf[context]}, {own, ownTokens}};
         const auto permit = std::get<Permit>(fleet[router].admit("a", "/", std::nullopt));
-        const auto choice = std::get<Choice>(fleet[router].choose(permit, demand, now));
+        const auto choice = std::get<Choice>(fleet[router].choose(permit, input, now));
         const auto id = choice.upstream.id;
-        fleet[router].noteSent(id, demand, now);
+        fleet[router].noteSent(id, input, now);
         running.emplace(now + 500ms + std::chrono::milliseconds(random() % 2000),
                         std::pair(router, id));
         auto &memory = memories.at(id);
         const auto isCounted = now >= start + 10s; // By then each context was read at least once.
         const auto here = memory.use(context, tokensOf[context]);
         const auto best = all.use(context, tokensOf[context]);
-        reading.byPool += isCounted ? here : 0;
-        reading.byOne += isCounted ? best : 0;
+        tokensRead.byPool += isCounted ? here : 0;
+        tokensRead.bySingleEngine += isCounted ? best : 0;
         memory.use(own, ownTokens);
         all.use(own, ownTokens);
     }
-    return reading;
+    return tokensRead;
 }
 
 } // namespace
@@ -171,12 +171,13 @@
 // one engine with all its memory would.
 BOOST_AUTO_TEST_CASE(contexts_fill_the_memory_of_a_pool_evenly)
 {
-    constexpr std::uint32_t shortMemory =
-        150000; // 1.5 times the size of all shared contexts, over the pool.
-    const auto reading = playMinute(shortMemory);
-    BOOST_TEST_MESSAGE("read again: " << reading.byPool << " tokens, " << reading.byOne
+    // 1.5 times the size of all shared contexts, over the pool.
+    constexpr std::uint32_t shortMemory = 150000;
+    const auto tokensRead = simulateMinute(shortMemory);
+    BOOST_TEST_MESSAGE("read again: " << tokensRead.byPool << " tokens, "
+                                      << tokensRead.bySingleEngine
                                       << " by one engine with all the memory");
-    BOOST_TEST(reading.byPool <= 2 * reading.byOne);
+    BOOST_TEST(tokensRead.byPool <= 2 * tokensRead.bySingleEngine);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/direct/registry-readers-test.cc
+++ b/test/direct/registry-readers-test.cc
@@ -110,7 +110,7 @@
 
 // A reader that repeatedly appears and disappears must not make others start and stop with it; each
 // start or stop costs a call.
-BOOST_AUTO_TEST_CASE(a_reader_that_comes_and_goes_stops_nobody)
+BOOST_AUTO_TEST_CASE(an_intermittent_reader_stops_no_other)
 {
     Fleet fleet(4);
     auto now = start;
--- a/test/direct/registry-replica-test.cc
+++ b/test/direct/registry-replica-test.cc
@@ -45,7 +45,7 @@
 }
 
 // After such an outage the owner writes its entry in time: the entry stays in force without a gap.
-BOOST_AUTO_TEST_CASE(an_entry_that_comes_back_is_doubted_no_more)
+BOOST_AUTO_TEST_CASE(a_restored_entry_is_no_longer_doubtful)
 {
     RegistryReplica replica;
     replica.apply(twoEntries(), start);
@@ -68,22 +68,22 @@
     BOOST_TEST(replica.items().at("config").value == "new");
 }
 
-BOOST_AUTO_TEST_CASE(a_peer_is_given_what_is_certain)
+BOOST_AUTO_TEST_CASE(a_peer_is_sent_no_doubtful_entries)
 {
     RegistryReplica replica;
     replica.apply(twoEntries(), start);
     replica.noteLost();
     replica.noteRegained(start);
     replica.apply(RegistrySnapshot{12, {{"config", "c", 3}}}, start);
-    const auto given = replica.newsSince(0);
-    BOOST_TEST(given.revision == 12);
-    BOOST_TEST(given.since == 0);
-    BOOST_TEST(given.changes.size() == 1);
+    const auto delta = replica.newsSince(0);
+    BOOST_TEST(delta.revision == 12);
+    BOOST_TEST(delta.since == 0);
+    BOOST_TEST(delta.changes.size() == 1);
 }
 
 // A router that does not read the registry gets each change from a peer: only the changes and
 // removals, not the whole registry, whose size grows with the fleet.
-BOOST_AUTO_TEST_CASE(a_peer_is_told_what_changed_since)
+BOOST_AUTO_TEST_CASE(a_peer_is_sent_the_changes_since_its_revision)
 {
     RegistryReplica reader;
     RegistryReplica follower;
@@ -91,14 +91,14 @@
     BOOST_TEST(follower.apply(reader.newsSince(follower.revision()), start));
     BOOST_TEST(follower.items().size() == 2);
     reader.apply({{{"upstream", "", 11}, true}, {{"other", "o", 12}, false}}, 12, start);
-    const auto news = reader.newsSince(follower.revision());
-    BOOST_TEST(news.since == 10);
-    BOOST_TEST(news.changes.size() == 2);
-    BOOST_TEST(follower.apply(news, start));
+    const auto delta = reader.newsSince(follower.revision());
+    BOOST_TEST(delta.since == 10);
+    BOOST_TEST(delta.changes.size() == 2);
+    BOOST_TEST(follower.apply(delta, start));
     BOOST_TEST(!follower.items().contains("upstream"));
     BOOST_TEST(follower.items().at("other").value == "o");
     BOOST_TEST(follower.revision() == 12);
-    BOOST_TEST(!follower.apply(news, start), "the same news change nothing");
+    BOOST_TEST(!follower.apply(delta, start), "the same delta changes nothing");
 }
 
 // An entry was added and removed while the peer itself could not see the registry, so it cannot
@@ -112,14 +112,14 @@
     follower.apply(twoEntries(), start);
     follower.apply({{{"brief", "b", 11}, false}}, 11, start);
     reader.apply(RegistrySnapshot{20, {{"config", "c", 3}}}, start);
-    const auto news = reader.newsSince(follower.revision());
-    BOOST_TEST(news.since == 0);
-    BOOST_TEST(follower.apply(news, start));
+    const auto delta = reader.newsSince(follower.revision());
+    BOOST_TEST(delta.since == 0);
+    BOOST_TEST(follower.apply(delta, start));
     BOOST_TEST(follower.items().size() == 1);
 }
 
 // Changes that begin after the current revision would leave out those in between.
-BOOST_AUTO_TEST_CASE(news_with_a_gap_change_nothing)
+BOOST_AUTO_TEST_CASE(a_delta_with_a_gap_changes_nothing)
 {
     RegistryReplica follower;
     follower.apply(twoEntries(), start);
--- a/test/direct/stream-pace-test.cc
+++ b/test/direct/stream-pace-test.cc
@@ -25,7 +25,7 @@
 }
 
 // Engines that were overloaded are fast again. Streams must not be refused for minutes afterwards.
-BOOST_AUTO_TEST_CASE(a_slow_moment_is_forgotten)
+BOOST_AUTO_TEST_CASE(a_slow_period_is_forgotten)
 {
     StreamPace pace;
     pace.noteStream(300, 30s);
