--- a/src/direct/directory.cc
+++ b/src/direct/directory.cc
@@ -20,9 +20,9 @@
 
 auto Configuration::add(Route route) -> void
 {
-    auto &routes = routesOf_[route.host];
-    const auto longerFirst = [](const auto &held, const Route &added) {
-        return held->prefix.size() >= added.prefix.size();
+    auto &routes = routesByHost_[route.host];
+    const auto longerFirst = [](const auto &existing, const Route &added) {
+        return existing->prefix.size() >= added.prefix.size();
     };
     const auto place = std::lower_bound(routes.begin(), routes.end(), route, longerFirst);
     routes.insert(place, std::make_shared<const Route>(std::move(route)));
@@ -31,15 +31,15 @@
 auto Configuration::add(Customer customer, const std::vector<std::string> &keys) -> void
 {
     namesCustomers = true;
-    const auto held = std::make_shared<const Customer>(std::move(customer));
+    const auto shared = std::make_shared<const Customer>(std::move(customer));
     for (const auto &key : keys)
-        customerOf_[key] = held;
+        customersByKey_[key] = shared;
 }
 
 auto Configuration::findRoute(std::string_view host, std::string_view path) const -> const Route *
 {
-    const auto routes = routesOf_.find(std::string(host));
-    if (routes == routesOf_.end())
+    const auto routes = routesByHost_.find(std::string(host));
+    if (routes == routesByHost_.end())
         return nullptr;
     for (const auto &route : routes->second) {
         if (path.starts_with(route->prefix))
@@ -50,8 +50,8 @@
 
 auto Configuration::findCustomer(const std::string &key) const -> const Customer *
 {
-    const auto found = customerOf_.find(key);
-    return found == customerOf_.end() ? nullptr : found->second.get();
+    const auto found = customersByKey_.find(key);
+    return found == customersByKey_.end() ? nullptr : found->second.get();
 }
 
 } // namespace applehatch::direct
--- a/test/direct/admission-test.cc
+++ b/test/direct/admission-test.cc
@@ -15,13 +15,13 @@
 
 constexpr auto start = Instant(100s);
 
-auto chat(int priority = 0, const std::string &customer = {}) -> AdmissionAsk
+auto chat(int priority = 0, const std::string &customer = {}) -> AdmissionRequest
 {
     return {"pool", customer, priority, 0, 300ms};
 }
 
-/// What callers got of a load.
-struct Served
+/// Outcomes of the requests of one priority.
+struct Outcomes
 {
     std::uint32_t asked = 0;
     std::uint32_t inTime = 0;
@@ -30,32 +30,32 @@
     [[nodiscard]] auto share() const -> double { return static_cast<double>(inTime) / asked; }
 };
 
-/// Engines that run `slots` requests of 2.5 s on average at once and queue the rest, and callers
-/// that come evenly. No network, no processes: only the decision and virtual time.
+/// Simulates, in virtual time and without network or processes, engines that run `slots` requests
+/// with a mean service time of 2.5 s and queue the rest. Requests arrive evenly.
 class Pool
 {
 public:
     static constexpr std::size_t engines = 12;
     static constexpr std::uint32_t slots = 64;
-    static constexpr Duration hold = 2500ms;
+    static constexpr Duration meanServiceTime = 2500ms;
 
-    explicit Pool(bool admits)
-        : admits_(admits)
+    explicit Pool(bool refusesWhenBusy)
+        : refusesWhenBusy_(refusesWhenBusy)
     { }
 
-    /// `perSecond` of each priority for eight seconds.
-    auto play(const std::map<int, double> &perSecond) -> std::map<int, Served>
+    /// Sends `perSecond` requests of each priority for eight seconds.
+    auto simulate(const std::map<int, double> &perSecond) -> std::map<int, Outcomes>
     {
-        std::map<int, Served> served;
+        std::map<int, Outcomes> outcomes;
         for (auto now = start; now < start + 8s; now += 1ms) {
             release(now);
             for (const auto &[priority, rate] : perSecond) {
                 due_[priority] += rate / 1000;
                 for (; due_[priority] >= 1; due_[priority] -= 1)
-                    ask(chat(priority), now, served[priority]);
+                    ask(chat(priority), now, outcomes[priority]);
             }
         }
-        return served;
+        return outcomes;
     }
 
 private:
@@ -64,7 +64,7 @@
         Instant at;
         int priority = 0;
         std::size_t engine = 0;
-        Duration held{0};
+        Duration serviceTime{0};
 
         auto operator>(const Done &other) const -> bool { return at > other.at; }
     };
@@ -75,44 +75,44 @@
             const auto done = done_.top();
             done_.pop();
             --load_[done.engine];
-            admission_.noteDone(chat(done.priority), done.held, now);
+            admission_.noteDone(chat(done.priority), done.serviceTime, now);
         }
     }
 
-    auto ask(const AdmissionAsk &request, Instant now, Served &served) -> void
+    auto ask(const AdmissionRequest &request, Instant now, Outcomes &outcomes) -> void
     {
-        ++served.asked;
+        ++outcomes.asked;
         const auto least = std::min_element(load_.begin(), load_.end());
-        const auto verdict = admission_.decide(request, {*least, slots});
-        if (admits_ && !verdict.admitted) {
-            ++served.refused;
+        const auto decision = admission_.decide(request, {*least, slots});
+        if (refusesWhenBusy_ && !decision.admitted) {
+            ++outcomes.refused;
             return;
         }
         const auto engine = static_cast<std::size_t>(least - load_.begin());
-        auto &places = places_[engine];
-        // The slot that is free first.
-        const auto place = std::min_element(places.begin(), places.end());
-        const auto begins = std::max(*place, now);
-        const auto held = drawHold();
-        *place = begins + held;
+        auto &slotsFreeAt = slotsFreeAt_[engine];
+        // The slot that becomes free first.
+        const auto slotFreeAt = std::min_element(slotsFreeAt.begin(), slotsFreeAt.end());
+        const auto begins = std::max(*slotFreeAt, now);
+        const auto serviceTime = drawServiceTime();
+        *slotFreeAt = begins + serviceTime;
         ++load_[engine];
         admission_.noteSent(request);
-        done_.push({*place, request.priority, engine, held});
+        done_.push({*slotFreeAt, request.priority, engine, serviceTime});
         if (begins - now <= request.objective)
-            ++served.inTime;
+            ++outcomes.inTime;
     }
 
-    auto drawHold() -> Duration
+    auto drawServiceTime() -> Duration
     {
         std::exponential_distribution<double> drawn(1);
-        return std::chrono::duration_cast<Duration>(hold * drawn(random_));
+        return std::chrono::duration_cast<Duration>(meanServiceTime * drawn(random_));
     }
 
-    bool admits_;
+    bool refusesWhenBusy_;
     Admission admission_;
     std::mt19937 random_{20261203};
     std::vector<std::uint32_t> load_ = std::vector<std::uint32_t>(engines);
-    std::vector<std::vector<Instant>> places_ =
+    std::vector<std::vector<Instant>> slotsFreeAt_ =
         std::vector<std::vector<Instant>>(engines, std::vector<Instant>(slots));
     std::priority_queue<Done, std::vector<Done>, std::greater<>> done_;
     std::map<int, double> due_;
@@ -122,54 +122,54 @@
 
 BOOST_AUTO_TEST_SUITE(admission)
 
-// Twice as many chats come as the engines can run: 614 a second of 307. Queued, all wait for longer
-// and longer, and after a second and a half nobody's first token is in time. Refused early, half
-// are served in time for as long as it lasts, and the others know at once.
+// The load is twice what the engines can run: 614 chats a second instead of 307. Queued, all wait
+// longer and longer, and after a second and a half no first token is in time. With early refusals
+// half of the chats are served in time for as long as the overload lasts, and the others are
+// refused at once.
 BOOST_AUTO_TEST_CASE(under_twice_the_load_half_are_served_in_time)
 {
-    const auto before = Pool(false).play({{0, 614}}).at(0);
-    const auto after = Pool(true).play({{0, 614}}).at(0);
+    const auto before = Pool(false).simulate({{0, 614}}).at(0);
+    const auto after = Pool(true).simulate({{0, 614}}).at(0);
     BOOST_TEST_MESSAGE("in time without refusals " << before.share() << ", with " << after.share());
     BOOST_TEST(after.share() > 0.5);
     BOOST_TEST(after.share() > 1.2 * before.share());
     const auto late = after.asked - after.refused - after.inTime;
-    BOOST_TEST(late < after.asked / 20, "hardly any is taken and then late");
+    BOOST_TEST(late < after.asked / 20, "hardly any request is admitted and then late");
 }
 
-// Nothing is refused as long as there is room.
-BOOST_AUTO_TEST_CASE(a_load_that_fits_is_taken_whole)
+// No request is refused as long as there are free slots.
+BOOST_AUTO_TEST_CASE(a_load_within_capacity_is_fully_admitted)
 {
-    const auto served = Pool(true).play({{0, 120}, {1, 80}, {2, 40}});
-    for (const auto &[priority, got] : served)
-        BOOST_TEST(got.refused == 0U);
+    const auto outcomes = Pool(true).simulate({{0, 120}, {1, 80}, {2, 40}});
+    for (const auto &[priority, outcome] : outcomes)
+        BOOST_TEST(outcome.refused == 0U);
 }
 
-// A burst of urgent and less urgent chats at once. The urgent alone would fit; they must not be
-// turned away for the others, which get what is left.
+// Urgent and less urgent chats arrive in one burst. The urgent ones alone would fit and must not be
+// refused in favour of the others, which get the remaining slots.
 BOOST_AUTO_TEST_CASE(the_urgent_are_served_first)
 {
-    const auto served = Pool(true).play({{0, 250}, {1, 400}});
-    BOOST_TEST(served.at(0).share() > 0.95);
-    BOOST_TEST(served.at(1).inTime > 0U);
-    BOOST_TEST(served.at(1).share() < served.at(0).share());
+    const auto outcomes = Pool(true).simulate({{0, 250}, {1, 400}});
+    BOOST_TEST(outcomes.at(0).share() > 0.95);
+    BOOST_TEST(outcomes.at(1).inTime > 0U);
+    BOOST_TEST(outcomes.at(1).share() < outcomes.at(0).share());
 }
 
-// One route may answer later than another of the same priority. It must not take every place before
-// the other is let in.
+// A route has a longer objective than another of the same priority. It must not take every slot
+// before the other is admitted.
 BOOST_AUTO_TEST_CASE(a_longer_objective_gives_no_precedence)
 {
     Admission admission;
-    const AdmissionAsk drafts{"pool", "", 1, 0, 800ms};
-    const AdmissionAsk chats{"pool", "", 1, 0, 300ms};
+    const AdmissionRequest drafts{"pool", "", 1, 0, 800ms};
+    const AdmissionRequest chats{"pool", "", 1, 0, 300ms};
     admission.decide(chats, {0, 64});
     for (std::uint32_t load = 50; load < 100; ++load)
         BOOST_TEST(admission.decide(drafts, {load, 64}).admitted
                    == admission.decide(chats, {load, 64}).admitted);
 }
 
-// A router has just started and its first requests are all at one plain service with few slots. How
-// long these hold a slot is not known; refusing them on a guess would turn callers away for
-// nothing.
+// A router has just started, and its first requests all go to a service with few slots. Their
+// service time is not known yet; refusals based on a guess would turn callers away needlessly.
 BOOST_AUTO_TEST_CASE(nothing_is_refused_before_anything_was_served)
 {
     Admission admission;
@@ -179,37 +179,39 @@
     BOOST_TEST(!admission.decide(chat(2), {20, 6}).admitted);
 }
 
-// One customer sends eight times its usual and fills the engines. The others must still be let in.
+// One customer sends eight times its usual load and fills the engines. The others must still be
+// admitted.
 BOOST_AUTO_TEST_CASE(a_customer_beyond_its_share_gives_way)
 {
     Admission admission;
     admission.noteSent(chat(0, "a"));
-    admission.noteDone(chat(0, "a"), Pool::hold, start);
+    admission.noteDone(chat(0, "a"), Pool::meanServiceTime, start);
     for (int i = 0; i < 40; ++i)
         admission.noteSent(chat(0, "surging"));
     for (const auto *other : {"a", "b", "c"})
         admission.noteSent(chat(0, other));
     BOOST_TEST(!admission.decide(chat(0, "surging"), {63, 64}).admitted);
     BOOST_TEST(admission.decide(chat(0, "a"), {63, 64}).admitted);
-    BOOST_TEST(admission.decide(chat(0, "surging"), {40, 64}).admitted, "while there is room");
+    BOOST_TEST(admission.decide(chat(0, "surging"), {40, 64}).admitted,
+               "admitted while there are free slots");
 }
 
-// Many were refused in the last seconds and will return. Told the same moment, they would all be
-// refused again; told a time that grows with their number, most find a place.
+// Many callers were refused recently and will retry. If all retried at the same moment, they would
+// all be refused again; with delays that grow with their number, most are admitted.
 BOOST_AUTO_TEST_CASE(returns_are_spread_over_what_the_refused_need)
 {
     Admission admission;
-    const auto first = admission.returnTime(chat(), 1.0, start);
+    const auto first = admission.retryAfter(chat(), 1.0, start);
     BOOST_TEST((first < 1s));
     for (int i = 0; i < 100; ++i)
-        admission.noteDone(chat(), Pool::hold, start);
+        admission.noteDone(chat(), Pool::meanServiceTime, start);
     Duration last{0};
     for (int i = 0; i < 150; ++i)
-        last = admission.returnTime(chat(), 1.0, start);
+        last = admission.retryAfter(chat(), 1.0, start);
     BOOST_TEST((last > 2s));
-    BOOST_TEST((admission.returnTime(chat(), 0.0, start) < 200ms), "some may come back soon");
-    BOOST_TEST((admission.returnTime(chat(), 1.0, start + 10s) < 1s),
-               "over as soon as the rush is");
+    BOOST_TEST((admission.retryAfter(chat(), 0.0, start) < 200ms), "some may retry soon");
+    BOOST_TEST((admission.retryAfter(chat(), 1.0, start + 10s) < 1s),
+               "delays shrink once the burst is over");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
