--- a/include/applehatch/gateway/caller-connection.h
+++ b/include/applehatch/gateway/caller-connection.h
@@ -34,7 +34,10 @@
     auto start() -> void;
 
     /// Called once if the caller leaves before its answer is whole.
-    auto onGone(std::function<void()> gone) -> void { gone_ = std::move(gone); }
+    auto onDisconnected(std::function<void()> disconnected) -> void
+    {
+        disconnected_ = std::move(disconnected);
+    }
     /// Called when the caller took what it was sent.
     auto onFlushed(std::function<void()> flushed) -> void { flushed_ = std::move(flushed); }
 
@@ -45,13 +48,13 @@
     auto send(std::string_view body) -> void;
     auto end() -> void;
     /// Ends an answer that will not be whole, so that the caller can tell.
-    auto breakOff() -> void;
+    auto abortAnswer() -> void;
 
     /// Whether the caller is slower than the upstream.
     [[nodiscard]] auto isCongested() const -> bool;
     /// Whether the caller is still there to be answered.
-    [[nodiscard]] auto isWaiting() const -> bool { return state_ == State::Answering; }
-    [[nodiscard]] auto isIdle() const -> bool { return state_ == State::Reading && !begun_; }
+    [[nodiscard]] auto isAwaitingAnswer() const -> bool { return state_ == State::Answering; }
+    [[nodiscard]] auto isIdle() const -> bool { return state_ == State::Reading && !requestBegun_; }
     /// Announces the close with the next answer; closes now when idle and `closeIdle`,
     /// unless it was opened a moment ago.
     auto retire(bool closeIdle) -> void;
@@ -79,14 +82,14 @@
     std::shared_ptr<Channel> channel_;
     CallerHooks hooks_;
     core::Instant openedAt_;
-    std::function<void()> gone_;
+    std::function<void()> disconnected_;
     std::function<void()> flushed_;
     State state_ = State::Reading;
     std::optional<RequestReader> reader_;
     std::string input_; // Bytes not yet taken; what comes during an answer waits here.
     Framing framing_ = Framing::Length;
-    bool begun_ = false; // Bytes of the next request came.
-    bool closeAfter_ = false;
+    bool requestBegun_ = false; // Bytes of the next request came.
+    bool closeAfterAnswer_ = false;
 };
 
 } // namespace applehatch::gateway
--- a/include/applehatch/gateway/channel.h
+++ b/include/applehatch/gateway/channel.h
@@ -19,9 +19,9 @@
 struct ChannelLimits
 {
     /// Unacknowledged bytes for this long end the connection; 0 leaves it to the kernel.
-    Duration unacknowledged{0};
+    Duration unacknowledgedTimeout{0};
     /// An idle connection is probed this often, in whole seconds; two misses end it.
-    std::chrono::seconds probeEvery{1};
+    std::chrono::seconds probeInterval{1};
 };
 
 /// Reads as bytes come, writes as the peer takes them.
--- a/include/applehatch/gateway/event-cutter.h
+++ b/include/applehatch/gateway/event-cutter.h
@@ -10,7 +10,7 @@
 
 /// An upstream may stop in the middle of an event. Only whole events are passed on, so that another
 /// upstream can go on after the last one and the caller never sees two pieces joined.
-class EventCutter
+class EventSplitter
 {
 public:
     /// Takes bytes; gives the whole events that they complete.
--- a/include/applehatch/gateway/exchange.h
+++ b/include/applehatch/gateway/exchange.h
@@ -39,12 +39,12 @@
     std::string fetchedFrom; ///< The engine that the context was to come from; empty for none.
     bool resumed = false;
     std::uint64_t configurationVersion = 0;
-    Duration took{0};
+    Duration duration{0};
     std::optional<Duration> firstByte;
 };
 
 /// What all exchanges of a process share.
-struct ExchangeHost
+struct ExchangeEnvironment
 {
     boost::asio::io_context *loop = nullptr;
     direct::Dispatcher *dispatcher = nullptr;
@@ -56,7 +56,7 @@
     std::function<void(const ExchangeReport &)> ended;
     direct::StreamPace *pace = nullptr;
     /// How long streams that begin now have, where the process stops and no longer takes them all.
-    std::function<std::optional<Duration>()> leftForStreams;
+    std::function<std::optional<Duration>()> streamTimeLeft;
 };
 
 /// Sends a request to one upstream after another as its route allows, and relays the answer.
@@ -66,21 +66,21 @@
 {
 public:
     /// Connections that may fail to open before the request is refused.
-    static constexpr std::uint32_t mostConnectFailures = 4;
+    static constexpr std::uint32_t maxConnectFailures = 4;
     /// A request that may be repeated is taken elsewhere when an upstream has sent nothing for
     /// this many times the route's objective, or the longest pause between its events.
-    static constexpr int silentAfterObjectives = 3;
-    static constexpr int silentAfterPauses = 4;
-    static constexpr Duration silentAtLeast = std::chrono::milliseconds(200);
-    static constexpr Duration silentAtMost = std::chrono::milliseconds(1500);
+    static constexpr int silenceTimeoutInObjectives = 3;
+    static constexpr int silenceTimeoutInPauses = 4;
+    static constexpr Duration minSilenceTimeout = std::chrono::milliseconds(200);
+    static constexpr Duration maxSilenceTimeout = std::chrono::milliseconds(1500);
     /// The wait is counted in so many steps and a last look, in which all sockets have their turn.
-    static constexpr int silentSteps = 4;
-    static constexpr Duration lastLook = std::chrono::milliseconds(20);
+    static constexpr int silenceSteps = 4;
+    static constexpr Duration finalSilenceStep = std::chrono::milliseconds(20);
     /// Answers of plain services up to this size are held until whole, so that one that breaks off
     /// can be fetched again from another upstream.
-    static constexpr std::size_t heldBytes = 262144;
+    static constexpr std::size_t maxBufferedBytes = 262144;
 
-    Exchange(const ExchangeHost &host, CallerPtr caller, RequestMessage request);
+    Exchange(const ExchangeEnvironment &environment, CallerPtr caller, RequestMessage request);
 
     auto run() -> void;
 
@@ -88,8 +88,8 @@
     using Failure = core::Failure;
 
     enum class Phase {
-        Searching, ///< Nothing of an answer has reached the caller.
-        Relaying,  ///< The caller has the head of the answer.
+        AwaitingAnswer, ///< Nothing of an answer has reached the caller.
+        Relaying,       ///< The caller has the head of the answer.
         Ended,
     };
 
@@ -104,17 +104,17 @@
         bool served = false;
         bool isStream = false;
         std::optional<ResponseHead> head;
-        std::string held; ///< Body of an answer that is not relayed as it comes.
+        std::string bufferedBody; ///< Body of an answer that is not relayed as it comes.
     };
 
-    auto readTerms() -> void;
-    [[nodiscard]] auto comesTooLate() const -> bool;
+    auto readRequestOptions() -> void;
+    [[nodiscard]] auto cannotFinishBeforeStop() const -> bool;
     /// Begins at the best upstream; false, with `refusal_` set, when there is none.
-    auto attempt() -> bool;
+    auto startAttempt() -> bool;
     /// Begins at another upstream when the route, the budget and the time allow and there is one.
-    auto attemptAgain(const std::string &why) -> bool;
+    auto retry(const std::string &why) -> bool;
     /// Nothing more can be tried.
-    auto answerExhausted() -> void;
+    auto answerAfterLastAttempt() -> void;
     auto useConnection(const UpstreamConnectionPtr &connection, bool isNew) -> void;
     auto sendRequest() -> void;
     [[nodiscard]] auto upstreamText() const -> std::string;
@@ -123,40 +123,40 @@
     auto onDone() -> void;
     auto onFailed(const std::string &why) -> void;
     auto onSilent() -> void;
-    auto onCallerGone() -> void;
-    auto onTimeUp() -> void;
+    auto onCallerDisconnected() -> void;
+    auto onDeadline() -> void;
 
     auto relayHead(const ResponseHead &head) -> void;
     auto relayEvents(std::string_view bytes) -> void;
     auto finishRelay() -> void;
-    auto deliverHeld() -> void;
+    auto deliverBuffered() -> void;
     auto closeAttempt(bool keepConnection) -> void;
     /// Tells the decisions that the request has left its upstream.
-    auto noteLeft() -> void;
+    auto recordAttemptEnd() -> void;
     /// Another upstream when that may be; else the final answer.
-    auto tryAgainOr(const Failure &failure) -> void;
+    auto retryOrAnswer(const Failure &failure) -> void;
     [[nodiscard]] auto mayRepeat() const -> bool;
     auto answerFailure(const Failure &failure) -> void;
     auto finish(const std::string &outcome, const std::string &reason) -> void;
-    auto armSilence() -> void;
-    auto listenFor(Duration step, int times) -> void;
+    auto startSilenceTimer() -> void;
+    auto runSilenceTimer(Duration step, int remainingSteps) -> void;
     auto noteOutcome(direct::Outcome outcome) -> void;
-    [[nodiscard]] auto left() const -> Duration;
+    [[nodiscard]] auto timeLeft() const -> Duration;
 
-    const ExchangeHost &host_;
+    const ExchangeEnvironment &environment_;
     CallerPtr caller_;
     RequestMessage request_;
     direct::Permit permit_;
     direct::Demand demand_;
     std::string id_;
     Instant arrivedAt_;
-    Instant givenUpAt_;
-    Phase phase_ = Phase::Searching;
-    Attempt now_;
-    EventCutter events_;
-    Timer timeUp_;
-    Timer silence_;
-    std::uint32_t mostTokens_ = 0; // Of the answer; 0 when that is not told.
+    Instant deadline_;
+    Phase phase_ = Phase::AwaitingAnswer;
+    Attempt attempt_;
+    EventSplitter events_;
+    Timer deadlineTimer_;
+    Timer silenceTimer_;
+    std::uint32_t maxTokens_ = 0; // Of the answer; 0 when that is not told.
     std::uint32_t sent_ = 0;
     std::uint32_t connectFailures_ = 0;
     bool mayHaveRun_ = false; // At some upstream, whatever became of it there.
--- a/include/applehatch/gateway/gateway-host.h
+++ b/include/applehatch/gateway/gateway-host.h
@@ -68,7 +68,7 @@
     /// Called when this router's turn to read the registry begins or ends.
     auto onReadingTurn(std::function<void(bool reads)> hook) -> void
     {
-        readingTurn_ = std::move(hook);
+        readerRoleHook_ = std::move(hook);
     }
     /// The revision from which the registry may be watched on; none when all of it must be read.
     [[nodiscard]] auto watchableRevision() const -> std::optional<std::uint64_t>;
@@ -98,26 +98,26 @@
     auto answerMetrics(const CallerPtr &caller) -> void;
     auto answerPeer(const CallerPtr &caller, const RequestMessage &request) -> void;
     /// What a peer that holds revision `held` is told.
-    [[nodiscard]] auto newsSince(std::uint64_t held) -> const std::string &;
+    [[nodiscard]] auto deltaSince(std::uint64_t peerRevision) -> const std::string &;
     auto applyRegistry() -> void;
     auto logUpstreamChanges(const direct::UpstreamList &upstreams) -> void;
-    auto peerHeard(const PeerDigest &digest) -> void;
-    auto peerNews(const direct::RegistryNews &news) -> void;
+    auto onPeerDigest(const PeerDigest &digest) -> void;
+    auto onPeerDelta(const direct::RegistryNews &news) -> void;
     auto registryRegained() -> void;
     /// Decides whether this router reads the registry itself.
-    auto decideReading(Instant now) -> void;
-    auto noteQuiet(Instant now) -> void;
-    auto noteTurn(bool reads, std::size_t readers, Instant now) -> void;
+    auto updateReaderRole(Instant now) -> void;
+    auto noteRegistrySilence(Instant now) -> void;
+    auto noteReaderRole(bool reads, std::size_t readers, Instant now) -> void;
     /// Since the registry last answered anybody; -1 when no answer is known.
     [[nodiscard]] auto sinceAnswerMs(Instant now) const -> std::int64_t;
-    [[nodiscard]] auto readsWell() const -> bool;
+    [[nodiscard]] auto isActiveReader() const -> bool;
     auto fillDigest(PeerDigest &digest) -> void;
     auto exchangeEnded(const ExchangeReport &report) -> void;
     auto tick() -> void;
     /// Tells when the loop was busy with something else for long; true then.
-    auto noteHoldUp(Instant now) -> bool;
+    auto noteStall(Instant now) -> bool;
     auto continueStop(Instant now) -> void;
-    [[nodiscard]] auto leftForStreams() const -> std::optional<Duration>;
+    [[nodiscard]] auto streamTimeLeft() const -> std::optional<Duration>;
     [[nodiscard]] auto hasReadyPeer(Instant now) const -> bool;
     auto catchUp(Instant now) -> void;
     [[nodiscard]] auto callerLimits() const -> direct::CallerLimits;
@@ -129,12 +129,12 @@
     direct::Dispatcher dispatcher_;
     direct::RegistryReplica replica_;
     direct::RegistryReaders readers_;
-    std::function<void(bool)> readingTurn_;
+    std::function<void(bool)> readerRoleHook_;
     direct::StreamPace pace_;
     UpstreamPool pool_;
     GatewayMetrics metrics_;
     PeerMesh mesh_;
-    ExchangeHost exchangeHost_;
+    ExchangeEnvironment exchangeEnvironment_;
     std::list<Listener> listeners_;
     Listener *callers_ = nullptr;
     Timer tick_;
@@ -148,19 +148,19 @@
     };
 
     /// News as last encoded; after a change most peers ask for the same.
-    struct GivenNews
+    struct EncodedDelta
     {
         std::uint64_t since = 0;
         std::uint64_t revision = 0;
         std::string text;
     };
 
-    GivenNews given_;
+    EncodedDelta lastDelta_;
     std::deque<EarlyRequest> early_; // Oldest first.
     std::size_t inFlight_ = 0;
-    std::optional<Instant> stopAskedAt_;
+    std::optional<Instant> stopRequestedAt_;
     std::optional<Instant> behindSince_;
-    bool tellsNextAnswer_ = false; // Nobody was heard to read; this router's turn came for it.
+    bool reportNextAnswer_ = false; // Nobody was heard to read; this router's turn came for it.
 };
 
 } // namespace applehatch::gateway
--- a/include/applehatch/gateway/http-message.h
+++ b/include/applehatch/gateway/http-message.h
@@ -41,8 +41,8 @@
 ///
 /// `kept` is never among them. Without that a caller could have a header that decides how a request
 /// runs dropped on the way by naming it in `Connection`.
-[[nodiscard]] auto connectionHeaders(const HeaderList &headers,
-                                     const std::vector<std::string> &kept)
+[[nodiscard]] auto hopByHopHeaders(const HeaderList &headers,
+                                   const std::vector<std::string> &endToEnd)
     -> std::vector<std::string>;
 
 struct RequestMessage
@@ -145,7 +145,7 @@
     };
 
     /// `toHead`: the request was a `HEAD`, whose response has no body.
-    ResponseReader(Hooks hooks, bool toHead);
+    ResponseReader(Hooks hooks, bool isHead);
 
     auto feed(std::string &bytes) -> ReadState;
     /// The connection was closed in order; whole when the body ends that way.
@@ -174,7 +174,7 @@
 
     Hooks hooks_;
     ResponseHead head_;
-    bool toHead_;
+    bool isHead_;
 };
 
 /// The standard reason phrase of a status.
--- a/include/applehatch/gateway/peer-mesh.h
+++ b/include/applehatch/gateway/peer-mesh.h
@@ -25,9 +25,9 @@
     /// Fills in what this router tells; sender, life, sequence and members are set by the mesh.
     std::function<void(PeerDigest &)> fill;
     /// A newer digest of a peer came.
-    std::function<void(const PeerDigest &)> heard;
+    std::function<void(const PeerDigest &)> digestReceived;
     /// A peer gave what it knows of the registry.
-    std::function<void(const direct::RegistryNews &)> news;
+    std::function<void(const direct::RegistryNews &)> deltaReceived;
     std::function<void(const std::string &event, const std::string &peer)> note;
 };
 
@@ -36,7 +36,7 @@
 public:
     /// A digest to the next routers this often: in a small fleet loads are at most this old, in a
     /// larger one as old as `PeerTable::round`.
-    static constexpr Duration period = std::chrono::milliseconds(200);
+    static constexpr Duration digestInterval = std::chrono::milliseconds(200);
 
     PeerMesh(boost::asio::io_context &loop, UpstreamPool &pool, Address self, PeerMeshHooks hooks);
     ~PeerMesh();
@@ -46,9 +46,9 @@
     auto start() -> void;
     /// Tells the registry's revision at once: peers that are behind learn of a change without
     /// waiting for the next digest.
-    auto tellNow() -> void;
+    auto advertiseToAll() -> void;
     /// Tells the next peers that the registry answered; they pass it on.
-    auto tellSome() -> void;
+    auto advertiseToSome() -> void;
     auto setSeeds(std::vector<Address> seeds) -> void { table_.setSeeds(std::move(seeds)); }
     /// Asks a peer that knows more of the registry than `revision` for what came since; one at a
     /// time, and any of those with the newest view, so that a reader does not answer the whole
@@ -68,23 +68,23 @@
     auto request(const Address &peer, std::uint64_t revision,
                  const UpstreamConnectionPtr &connection) -> void;
     /// The question under way is answered or given up; returns its connection.
-    auto settleFetch() -> UpstreamConnectionPtr;
+    auto finishFetch() -> UpstreamConnectionPtr;
 
     /// A peer that takes longer to give its view is left alone; usually it takes milliseconds.
     static constexpr Duration fetchTimeout = std::chrono::milliseconds(800);
-    static constexpr std::size_t largestDatagram = 65536;
+    static constexpr std::size_t maxDatagramBytes = 65536;
 
     UpstreamPool &pool_;
     Address self_;
     PeerMeshHooks hooks_;
-    std::uint64_t life_;
+    std::uint64_t incarnation_;
     PeerTable table_;
     std::uint64_t sequence_ = 0;
     boost::asio::ip::udp::socket socket_;
     boost::asio::ip::udp::endpoint from_;
     Timer timer_;
     Timer fetchTimer_;
-    std::array<char, largestDatagram> buffer_{};
+    std::array<char, maxDatagramBytes> buffer_{};
     UpstreamConnectionPtr fetching_;
     bool fetchPending_ = false;
     std::vector<std::string> lastAlive_;
@@ -93,6 +93,6 @@
 
 /// The path at which a router tells its peers of the registry; the revision that the peer holds
 /// follows.
-inline constexpr std::string_view newsPath = "/registry?after=";
+inline constexpr std::string_view deltaPath = "/registry?after=";
 
 } // namespace applehatch::gateway
--- a/include/applehatch/gateway/peer-table.h
+++ b/include/applehatch/gateway/peer-table.h
@@ -19,7 +19,7 @@
 struct PeerRow
 {
     Address address;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
     std::uint64_t revision = 0;
     bool leaving = false;
@@ -47,15 +47,15 @@
     /// A router not heard for this long, or for `aliveRounds` turns, is not asked for anything.
     static constexpr Duration aliveFor = std::chrono::milliseconds(1500);
     /// Lost datagrams in a row: at one in twenty, three are lost once in 8,000.
-    static constexpr int aliveRounds = 3;
+    static constexpr int maxMissedRounds = 3;
     /// A router not heard for this long, or for three times as long as one counts as alive, is not
     /// told of any more.
-    static constexpr Duration knownFor = std::chrono::seconds(10);
+    static constexpr Duration memberLifetime = std::chrono::seconds(10);
     /// The retry share counts routers heard within this time: one that is cut off still spends.
-    static constexpr Duration countedFor = std::chrono::seconds(60);
+    static constexpr Duration budgetShareLifetime = std::chrono::seconds(60);
 
     /// A digest is sent each `period`; `life` rises with each process at this address.
-    PeerTable(Address self, Duration period, std::uint64_t life);
+    PeerTable(Address self, Duration digestInterval, std::uint64_t incarnation);
 
     /// A router's rank among those that may read the registry; it stays the same for its address.
     [[nodiscard]] static auto rankOf(const Address &router) -> std::uint64_t;
@@ -75,8 +75,8 @@
     /// Some known routers, in turn.
     [[nodiscard]] auto nextMembers(Instant now) -> std::vector<Address>;
     [[nodiscard]] auto alive(Instant now) const -> std::vector<PeerRow>;
-    [[nodiscard]] auto readerBook() -> direct::ReaderBook & { return readerBook_; }
-    [[nodiscard]] auto readerBook() const -> const direct::ReaderBook & { return readerBook_; }
+    [[nodiscard]] auto readerBook() -> direct::ReaderBook & { return readerTracker_; }
+    [[nodiscard]] auto readerBook() const -> const direct::ReaderBook & { return readerTracker_; }
     /// Routers that share the retry budget, this one included; at least the number of seeds.
     [[nodiscard]] auto routers(Instant now) const -> std::size_t;
     /// The time after which every known router has had a digest.
@@ -85,27 +85,28 @@
     [[nodiscard]] auto believedFor(Instant now) const -> Duration;
 
 private:
-    struct Told
+    struct AdvertisedPeer
     {
         Address address;
-        Instant toldAt;
+        Instant advertisedAt;
     };
 
     auto applyReaders(const PeerDigest &digest, Instant now) -> void;
     [[nodiscard]] auto members(Instant now) const -> std::vector<Address>;
     /// Whether the router was heard within `limit`, less this process's hold-ups.
-    [[nodiscard]] auto isHeard(const PeerRow &row, Duration limit, Instant now) const -> bool;
+    [[nodiscard]] auto wasHeardWithin(const PeerRow &row, Duration limit, Instant now) const
+        -> bool;
 
     Address self_;
-    Duration period_;
+    Duration digestInterval_;
     std::vector<Address> seeds_;
     mutable core::ListeningClock listening_; ///< Its first reading starts it.
-    std::map<std::string, PeerRow> heard_;
-    std::map<std::string, Told> told_; // Named by others, not heard yet.
-    direct::ReaderBook readerBook_;
-    std::size_t targetTurn_;
-    std::size_t toldTurn_;
-    std::size_t memberTurn_;
+    std::map<std::string, PeerRow> peers_;
+    std::map<std::string, AdvertisedPeer> advertised_; // Named by others, not heard yet.
+    direct::ReaderBook readerTracker_;
+    std::size_t targetOffset_;
+    std::size_t briefTargetOffset_;
+    std::size_t memberOffset_;
 };
 
 } // namespace applehatch::gateway
--- a/include/applehatch/gateway/timer.h
+++ b/include/applehatch/gateway/timer.h
@@ -34,7 +34,7 @@
 private:
     boost::asio::steady_timer timer_;
     std::shared_ptr<std::uint64_t>
-        turn_; // Counts starts and stops; handlers may outlive the timer.
+        generation_; // Counts starts and stops; handlers may outlive the timer.
 };
 
 } // namespace applehatch::gateway
--- a/include/applehatch/gateway/upstream-connection.h
+++ b/include/applehatch/gateway/upstream-connection.h
@@ -31,7 +31,7 @@
     std::string text;
     std::string idHeader; ///< Responses echo this header; empty: not checked.
     std::string id;
-    bool toHead = false;
+    bool isHead = false;
 };
 
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection>
@@ -49,7 +49,10 @@
     /// Whether the next request may use it.
     [[nodiscard]] auto isReusable() const -> bool;
     /// How long the upstream said that it keeps an idle connection; none when it did not say.
-    [[nodiscard]] auto keptFor() const -> std::optional<Duration> { return keptFor_; }
+    [[nodiscard]] auto keepAliveTimeout() const -> std::optional<Duration>
+    {
+        return keepAliveTimeout_;
+    }
 
 private:
     auto read(std::string &bytes) -> void;
@@ -64,12 +67,12 @@
     WireRequest request_;
     AnswerHooks hooks_;
     std::optional<ResponseReader> reader_;
-    std::optional<Duration> keptFor_;
+    std::optional<Duration> keepAliveTimeout_;
     bool busy_ = false;
-    bool foreign_ = false; // The answer being read belongs to an earlier request.
+    bool isStaleAnswer_ = false; // The answer being read belongs to an earlier request.
     bool informational_ = false;
     bool keepAlive_ = true;
-    int skipped_ = 0;
+    int skippedAnswers_ = 0;
 };
 
 } // namespace applehatch::gateway
--- a/include/applehatch/gateway/upstream-pool.h
+++ b/include/applehatch/gateway/upstream-pool.h
@@ -26,22 +26,22 @@
     /// within a few milliseconds, one lost packet costs a second on top of that.
     static constexpr Duration connectTimeout = std::chrono::milliseconds(700);
     /// Four lost packets in a row; a request on a connection that went silent is told so then.
-    static constexpr Duration unacknowledgedLimit = std::chrono::milliseconds(1500);
+    static constexpr Duration unacknowledgedTimeout = std::chrono::milliseconds(1500);
     /// Share of the time told in `Keep-Alive` for which a connection is used again: a request that
     /// crosses the upstream's close may or may not have run.
-    static constexpr double keptShare = 0.7;
+    static constexpr double keepAliveShare = 0.7;
     /// Where the upstream tells no time.
-    static constexpr Duration keptUntold = std::chrono::seconds(4);
+    static constexpr Duration defaultKeepAlive = std::chrono::seconds(4);
 
     /// Gets the connection, or null when none could be opened.
-    using Taker = std::function<void(UpstreamConnectionPtr, bool isNew)>;
+    using AcquireCallback = std::function<void(UpstreamConnectionPtr, bool isNew)>;
 
     explicit UpstreamPool(boost::asio::io_context &loop);
     ~UpstreamPool();
     UpstreamPool(const UpstreamPool &) = delete;
     auto operator=(const UpstreamPool &) -> UpstreamPool & = delete;
 
-    auto acquire(const Address &address, const Taker &taker) -> void;
+    auto acquire(const Address &address, const AcquireCallback &callback) -> void;
     /// Takes a connection back whose answer is whole.
     auto release(const Address &address, const UpstreamConnectionPtr &connection) -> void;
     /// Closes the kept connections to an address, when it was found silent or gone.
@@ -51,17 +51,17 @@
     [[nodiscard]] auto opened() const -> std::uint64_t { return opened_; }
 
 private:
-    struct Kept
+    struct IdleConnection
     {
         UpstreamConnectionPtr connection;
         Instant until;
     };
     struct Opening;
 
-    auto open(const Address &address, const Taker &taker) -> void;
+    auto open(const Address &address, const AcquireCallback &callback) -> void;
 
     boost::asio::io_context &loop_;
-    std::map<std::string, std::vector<Kept>> kept_; // The one used last comes last.
+    std::map<std::string, std::vector<IdleConnection>> idle_; // The one used last comes last.
     std::uint64_t opened_ = 0;
 };
 
--- a/src/gateway/caller-connection.cc
+++ b/src/gateway/caller-connection.cc
@@ -11,15 +11,15 @@
 namespace {
 
 // Reading stops when a caller sends this much before its answer is whole.
-constexpr std::size_t mostPending = 65536;
+constexpr std::size_t maxPendingBytes = 65536;
 // An upstream is slowed down when a caller has this much to read; about 300 events.
-constexpr std::size_t congestedAt = 65536;
+constexpr std::size_t congestionThreshold = 65536;
 // A kept connection is closed this much after the limit told to callers, so that a request sent at
 // the last moment is not cut.
 constexpr Duration idleGrace = std::chrono::seconds(2);
 // A connection this young was opened to send a request that is on its way; closed, its caller would
 // have to connect anew.
-constexpr Duration newFor = std::chrono::seconds(1);
+constexpr Duration newConnectionTime = std::chrono::seconds(1);
 constexpr int badRequest = 400;
 constexpr int requestTimeout = 408;
 constexpr int bodyTooLarge = 413;
@@ -68,20 +68,20 @@
         return read();
     if (state_ == State::Ended)
         input_.clear();
-    if (input_.size() > mostPending)
+    if (input_.size() > maxPendingBytes)
         channel_->setPaused(true);
 }
 
 auto CallerConnection::read() -> void
 {
     const auto limits = hooks_.limits();
-    if (!begun_ && !input_.empty()) {
-        begun_ = true;
+    if (!requestBegun_ && !input_.empty()) {
+        requestBegun_ = true;
         reader_.emplace(limits.headerBytes, limits.bodyBytes);
         timer_.start(limits.headerTimeout,
                      [self = shared_from_this()] { self->refuse(requestTimeout); });
     }
-    if (!begun_)
+    if (!requestBegun_)
         return;
     const auto headBefore = reader_->headRead();
     const auto result = reader_->feed(input_);
@@ -101,11 +101,11 @@
 {
     timer_.stop();
     state_ = State::Answering;
-    begun_ = false;
+    requestBegun_ = false;
     auto message = reader_->take();
     reader_.reset();
     if (!message.keepAlive)
-        closeAfter_ = true;
+        closeAfterAnswer_ = true;
     hooks_.request(shared_from_this(), std::move(message));
 }
 
@@ -114,7 +114,7 @@
     if (state_ != State::Reading)
         return;
     state_ = State::Answering;
-    closeAfter_ = true;
+    closeAfterAnswer_ = true;
     ResponseHead head;
     head.status = status;
     answer(std::move(head), {});
@@ -122,7 +122,7 @@
 
 auto CallerConnection::writeHead(ResponseHead head) -> void
 {
-    head.keepAlive = !closeAfter_;
+    head.keepAlive = !closeAfterAnswer_;
     framing_ = head.framing;
     channel_->write(headText(head));
 }
@@ -133,7 +133,7 @@
         return;
     head.framing = Framing::Length;
     head.length = body.size();
-    head.keepAlive = !closeAfter_;
+    head.keepAlive = !closeAfterAnswer_;
     auto text = headText(head);
     text += body;
     channel_->write(text);
@@ -168,12 +168,12 @@
     finishAnswer();
 }
 
-auto CallerConnection::breakOff() -> void
+auto CallerConnection::abortAnswer() -> void
 {
     if (state_ != State::Answering)
         return;
     state_ = State::Ended;
-    gone_ = nullptr;
+    disconnected_ = nullptr;
     flushed_ = nullptr;
     timer_.stop();
     channel_->close();
@@ -181,13 +181,13 @@
 
 auto CallerConnection::finishAnswer() -> void
 {
-    gone_ = nullptr;
+    disconnected_ = nullptr;
     flushed_ = nullptr;
     if (!channel_->isOpen()) {
         state_ = State::Ended;
         return;
     }
-    if (closeAfter_) {
+    if (closeAfterAnswer_) {
         state_ = State::Ended;
         channel_->close();
         // A peer that never closes its end would keep the socket for good.
@@ -220,13 +220,13 @@
 
 auto CallerConnection::isCongested() const -> bool
 {
-    return channel_->unsent() > congestedAt;
+    return channel_->unsent() > congestionThreshold;
 }
 
 auto CallerConnection::retire(bool closeIdle) -> void
 {
-    closeAfter_ = true;
-    const auto isNew = telemetry::steadyNow() - openedAt_ < newFor;
+    closeAfterAnswer_ = true;
+    const auto isNew = telemetry::steadyNow() - openedAt_ < newConnectionTime;
     if (!closeIdle || !isIdle() || isNew || channel_->hasUnread())
         return;
     state_ = State::Ended;
@@ -247,9 +247,9 @@
     timer_.stop();
     state_ = State::Ended;
     flushed_ = nullptr;
-    const auto gone = std::exchange(gone_, nullptr);
-    if (gone)
-        gone();
+    const auto disconnected = std::exchange(disconnected_, nullptr);
+    if (disconnected)
+        disconnected();
 }
 
 } // namespace applehatch::gateway
--- a/src/gateway/channel.cc
+++ b/src/gateway/channel.cc
@@ -18,8 +18,8 @@
 namespace {
 
 // One read takes at most this; a stream's event is a few hundred bytes.
-constexpr std::size_t readBytes = 32768;
-constexpr int probesMissed = 2;
+constexpr std::size_t maxReadBytes = 32768;
+constexpr int maxMissedProbes = 2;
 
 auto setOption(int fd, int level, int name, int value) -> void
 {
@@ -34,13 +34,14 @@
     const auto fd = socket.native_handle();
     setOption(fd, IPPROTO_TCP, TCP_NODELAY, 1);
     setOption(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
-    setOption(fd, IPPROTO_TCP, TCP_KEEPIDLE, static_cast<int>(limits.probeEvery.count()));
-    setOption(fd, IPPROTO_TCP, TCP_KEEPINTVL, static_cast<int>(limits.probeEvery.count()));
-    setOption(fd, IPPROTO_TCP, TCP_KEEPCNT, probesMissed);
-    const auto unacknowledged =
-        std::chrono::duration_cast<std::chrono::milliseconds>(limits.unacknowledged);
-    if (unacknowledged.count() > 0)
-        setOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(unacknowledged.count()));
+    setOption(fd, IPPROTO_TCP, TCP_KEEPIDLE, static_cast<int>(limits.probeInterval.count()));
+    setOption(fd, IPPROTO_TCP, TCP_KEEPINTVL, static_cast<int>(limits.probeInterval.count()));
+    setOption(fd, IPPROTO_TCP, TCP_KEEPCNT, maxMissedProbes);
+    const auto unacknowledgedTimeout =
+        std::chrono::duration_cast<std::chrono::milliseconds>(limits.unacknowledgedTimeout);
+    if (unacknowledgedTimeout.count() > 0)
+        setOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT,
+                  static_cast<int>(unacknowledgedTimeout.count()));
 }
 
 Channel::Channel(Socket socket)
@@ -77,7 +78,7 @@
 
 auto Channel::readAvailable() -> void
 {
-    static thread_local std::array<char, readBytes> buffer;
+    static thread_local std::array<char, maxReadBytes> buffer;
     error_code error;
     const auto count = socket_.read_some(asio::buffer(buffer), error);
     if (error == asio::error::would_block || error == asio::error::try_again)
--- a/src/gateway/event-cutter.cc
+++ b/src/gateway/event-cutter.cc
@@ -47,7 +47,7 @@
 
 } // namespace
 
-auto EventCutter::feed(std::string_view bytes) -> std::string
+auto EventSplitter::feed(std::string_view bytes) -> std::string
 {
     partial_ += bytes;
     std::string_view rest = partial_;
@@ -62,7 +62,7 @@
     return events;
 }
 
-auto EventCutter::noteEvent(std::string_view event) -> void
+auto EventSplitter::noteEvent(std::string_view event) -> void
 {
     ++events_;
     const auto id = idOf(event);
--- a/src/gateway/gateway-host.cc
+++ b/src/gateway/gateway-host.cc
@@ -20,22 +20,22 @@
 
 namespace {
 
-constexpr Duration tickPeriod = std::chrono::milliseconds(100);
+constexpr Duration tickInterval = std::chrono::milliseconds(100);
 // A stopping process takes new streams for this long: the balancer asks each second and takes a
 // process out after two misses, so callers keep coming for up to three seconds.
-constexpr Duration takesStreamsFor = std::chrono::milliseconds(2500);
+constexpr Duration streamAcceptTime = std::chrono::milliseconds(2500);
 // Idle connections are closed then; before it, a caller's request could cross the close.
-constexpr Duration closesIdleAfter = std::chrono::milliseconds(2500);
+constexpr Duration idleCloseDelay = std::chrono::milliseconds(2500);
 // It may end from then on, when nothing is under way.
-constexpr Duration mayEndAfter = std::chrono::milliseconds(3300);
+constexpr Duration minStopTime = std::chrono::milliseconds(3300);
 // Left before the platform would kill the process.
-constexpr Duration endMargin = std::chrono::milliseconds(350);
+constexpr Duration killMargin = std::chrono::milliseconds(350);
 // A process that starts again has callers at once, and a configuration some 30 ms later. Requests
 // wait that long rather than be refused; beyond it the registry is away, and they are told so.
-constexpr Duration waitsForConfiguration = std::chrono::milliseconds(250);
+constexpr Duration maxConfigurationWait = std::chrono::milliseconds(250);
 // The loop did nothing else for this long: every caller waited. Told in the log, since late answers
 // then have no other cause in it.
-constexpr Duration heldUpFor = std::chrono::milliseconds(200);
+constexpr Duration stallThreshold = std::chrono::milliseconds(200);
 constexpr int ok = 200;
 constexpr int notFound = 404;
 constexpr int unavailable = 503;
@@ -77,8 +77,8 @@
     , pool_(loop)
     , mesh_(loop, pool_, settings_.peers,
             {[this](PeerDigest &digest) { fillDigest(digest); },
-             [this](const PeerDigest &digest) { peerHeard(digest); },
-             [this](const direct::RegistryNews &news) { peerNews(news); },
+             [this](const PeerDigest &digest) { onPeerDigest(digest); },
+             [this](const direct::RegistryNews &news) { onPeerDelta(news); },
              [this](const std::string &event, const std::string &peer) {
                  metrics_.noteEvent(event);
                  log(LogLine(event).add("peer", peer));
@@ -87,18 +87,18 @@
 {
     dispatcher_.setLoadBound(settings_.loadBound);
     mesh_.setSeeds(settings_.seeds);
-    exchangeHost_.loop = &loop_;
-    exchangeHost_.dispatcher = &dispatcher_;
-    exchangeHost_.pool = &pool_;
-    exchangeHost_.vocabulary = &vocabulary_;
-    exchangeHost_.note = [this](const std::string &id, const std::string &event,
-                                const std::string &why) {
+    exchangeEnvironment_.loop = &loop_;
+    exchangeEnvironment_.dispatcher = &dispatcher_;
+    exchangeEnvironment_.pool = &pool_;
+    exchangeEnvironment_.vocabulary = &vocabulary_;
+    exchangeEnvironment_.note = [this](const std::string &id, const std::string &event,
+                                       const std::string &why) {
         metrics_.noteEvent(event);
         log(LogLine(event).add("request", id).add("why", why));
     };
-    exchangeHost_.ended = [this](const ExchangeReport &report) { exchangeEnded(report); };
-    exchangeHost_.pace = &pace_;
-    exchangeHost_.leftForStreams = [this] { return leftForStreams(); };
+    exchangeEnvironment_.ended = [this](const ExchangeReport &report) { exchangeEnded(report); };
+    exchangeEnvironment_.pace = &pace_;
+    exchangeEnvironment_.streamTimeLeft = [this] { return streamTimeLeft(); };
     metrics_.setGauges(
         {[this] { return static_cast<double>(inFlight_); },
          [this] { return callers_ == nullptr ? 0 : static_cast<double>(callers_->connections()); },
@@ -169,7 +169,7 @@
 
 auto GatewayHost::isReady() const -> bool
 {
-    return dispatcher_.ready() && !stopAskedAt_;
+    return dispatcher_.ready() && !stopRequestedAt_;
 }
 
 auto GatewayHost::callerLimits() const -> direct::CallerLimits
@@ -182,13 +182,13 @@
 {
     if (dispatcher_.ready())
         return startExchange(caller, std::move(request));
-    early_.push_back({caller, std::move(request), steadyNow() + waitsForConfiguration});
+    early_.push_back({caller, std::move(request), steadyNow() + maxConfigurationWait});
 }
 
 auto GatewayHost::startExchange(const CallerPtr &caller, RequestMessage request) -> void
 {
     ++inFlight_;
-    std::make_shared<Exchange>(exchangeHost_, caller, std::move(request))->run();
+    std::make_shared<Exchange>(exchangeEnvironment_, caller, std::move(request))->run();
 }
 
 auto GatewayHost::releaseEarly(Instant now) -> void
@@ -196,7 +196,7 @@
     while (!early_.empty() && (dispatcher_.ready() || early_.front().until <= now)) {
         auto first = std::move(early_.front());
         early_.pop_front();
-        if (first.caller->isWaiting())
+        if (first.caller->isAwaitingAnswer())
             startExchange(first.caller, std::move(first.request));
     }
 }
@@ -223,7 +223,7 @@
         .add("fetchedFrom", report.fetchedFrom)
         .add("resumed", report.resumed ? 1 : 0)
         .add("config", static_cast<std::int64_t>(report.configurationVersion))
-        .add("tookMs", milliseconds(report.took));
+        .add("tookMs", milliseconds(report.duration));
     if (report.firstByte)
         line.add("firstByteMs", milliseconds(*report.firstByte));
     log(line);
@@ -243,36 +243,36 @@
 auto GatewayHost::answerPeer(const CallerPtr &caller, const RequestMessage &request) -> void
 {
     const std::string_view target = request.target;
-    std::uint64_t held = 0;
+    std::uint64_t peerRevision = 0;
     const auto *end = target.data() + target.size();
-    const auto isAsked = target.starts_with(newsPath)
-        && std::from_chars(target.data() + newsPath.size(), end, held).ptr == end;
-    if (!isAsked)
+    const auto isDeltaRequest = target.starts_with(deltaPath)
+        && std::from_chars(target.data() + deltaPath.size(), end, peerRevision).ptr == end;
+    if (!isDeltaRequest)
         return answerText(caller, notFound, "text/plain", "");
-    answerText(caller, ok, "application/octet-stream", newsSince(held));
+    answerText(caller, ok, "application/octet-stream", deltaSince(peerRevision));
 }
 
 auto GatewayHost::fillDigest(PeerDigest &digest) -> void
 {
     const auto now = steadyNow();
     digest.revision = replica_.revision();
-    digest.leaving = stopAskedAt_.has_value();
-    const auto &book = mesh_.readerBook();
-    const auto own = readsWell() ? book.ownWord(digest.revision, now) : std::nullopt;
-    digest.readers = book.told(own, now);
+    digest.leaving = stopRequestedAt_.has_value();
+    const auto &tracker = mesh_.readerBook();
+    const auto own = isActiveReader() ? tracker.ownWord(digest.revision, now) : std::nullopt;
+    digest.readers = tracker.told(own, now);
     if (digest.brief)
         return;
     digest.loads = dispatcher_.loads().ownLoads();
     digest.crashes = dispatcher_.suspects().ownCounts(now);
     // Each peer hears of a use once a round.
     digest.contexts =
-        dispatcher_.contexts().recentUses(now, mesh_.table().round(now) + PeerMesh::period);
+        dispatcher_.contexts().recentUses(now, mesh_.table().round(now) + PeerMesh::digestInterval);
 }
 
 auto GatewayHost::tick() -> void
 {
     const auto now = steadyNow();
-    const auto wasHeldUp = noteHoldUp(now);
+    const auto wasStalled = noteStall(now);
     if (replica_.expire(now))
         applyRegistry();
     dispatcher_.loads().setPeerLifetime(mesh_.table().believedFor(now));
@@ -282,23 +282,23 @@
     pool_.expire(now);
     // What others said meanwhile lies unread: whether this router must read waits for the next
     // tick. That it need not is decided at once, as reading may be what holds it up.
-    if (!wasHeldUp || readers_.reads())
-        decideReading(now);
+    if (!wasStalled || readers_.reads())
+        updateReaderRole(now);
     catchUp(now);
     releaseEarly(now);
     for (auto &listener : listeners_)
         listener.sweep();
-    if (stopAskedAt_)
+    if (stopRequestedAt_)
         continueStop(now);
-    tickDueAt_ = steadyNow() + tickPeriod;
-    tick_.start(tickPeriod, [this] { tick(); });
+    tickDueAt_ = steadyNow() + tickInterval;
+    tick_.start(tickInterval, [this] { tick(); });
 }
 
-auto GatewayHost::noteHoldUp(Instant now) -> bool
+auto GatewayHost::noteStall(Instant now) -> bool
 {
     const auto late = now - tickDueAt_.value_or(now);
     metrics_.noteLoopDelay(late);
-    if (late < heldUpFor)
+    if (late < stallThreshold)
         return false;
     metrics_.noteEvent("held-up");
     log(LogLine("held-up").add("lateMs", milliseconds(late)), LogLevel::Warning);
@@ -307,23 +307,23 @@
 
 auto GatewayHost::stop() -> void
 {
-    if (stopAskedAt_)
+    if (stopRequestedAt_)
         return;
-    stopAskedAt_ = steadyNow();
+    stopRequestedAt_ = steadyNow();
     callers_->retire(false);
     log(LogLine("stopping").add("inFlight", static_cast<std::int64_t>(inFlight_)));
 }
 
-auto GatewayHost::leftForStreams() const -> std::optional<Duration>
+auto GatewayHost::streamTimeLeft() const -> std::optional<Duration>
 {
     const auto now = steadyNow();
-    if (!stopAskedAt_ || now - *stopAskedAt_ < takesStreamsFor)
+    if (!stopRequestedAt_ || now - *stopRequestedAt_ < streamAcceptTime)
         return std::nullopt;
     // When all routers are stopped in turn faster than they come back, the balancer sends callers
     // to routers that stop. Those then take what they can still finish; otherwise they end sooner.
     if (hasReadyPeer(now))
         return Duration(0);
-    return *stopAskedAt_ + settings_.stopWithin - endMargin - now;
+    return *stopRequestedAt_ + settings_.stopWithin - killMargin - now;
 }
 
 auto GatewayHost::hasReadyPeer(Instant now) const -> bool
@@ -334,11 +334,11 @@
 
 auto GatewayHost::continueStop(Instant now) -> void
 {
-    const auto since = now - *stopAskedAt_;
-    if (since >= closesIdleAfter)
+    const auto since = now - *stopRequestedAt_;
+    if (since >= idleCloseDelay)
         callers_->retire(true);
-    const auto idle = inFlight_ == 0 && since >= mayEndAfter;
-    const auto outOfTime = since >= settings_.stopWithin - endMargin;
+    const auto idle = inFlight_ == 0 && since >= minStopTime;
+    const auto outOfTime = since >= settings_.stopWithin - killMargin;
     if (!idle && !outOfTime)
         return;
     log(LogLine("stopped").add("inFlight", static_cast<std::int64_t>(inFlight_)));
--- a/src/gateway/gateway-metrics.cc
+++ b/src/gateway/gateway-metrics.cc
@@ -68,7 +68,7 @@
         .counter({"applehatch_requests_total", "Requests by outcome and status."},
                  {{"outcome", report.outcome}, {"status", std::to_string(report.status)}})
         .Increment();
-    duration_.Observe(seconds(report.took));
+    duration_.Observe(seconds(report.duration));
     if (report.firstByte)
         firstByte_.Observe(seconds(*report.firstByte));
 }
--- a/src/gateway/gateway-registry.cc
+++ b/src/gateway/gateway-registry.cc
@@ -17,17 +17,18 @@
 namespace {
 
 // The registry's own watch usually brings a change sooner than this; then a peer is asked.
-constexpr Duration behindFor = std::chrono::milliseconds(250);
+constexpr Duration catchUpDelay = std::chrono::milliseconds(250);
 
 } // namespace
 
-auto GatewayHost::newsSince(std::uint64_t held) -> const std::string &
+auto GatewayHost::deltaSince(std::uint64_t peerRevision) -> const std::string &
 {
-    const auto isCached =
-        !given_.text.empty() && given_.since == held && given_.revision == replica_.revision();
+    const auto isCached = !lastDelta_.text.empty() && lastDelta_.since == peerRevision
+        && lastDelta_.revision == replica_.revision();
     if (!isCached)
-        given_ = {held, replica_.revision(), encodeNews(replica_.newsSince(held))};
-    return given_.text;
+        lastDelta_ = {peerRevision, replica_.revision(),
+                      encodeNews(replica_.newsSince(peerRevision))};
+    return lastDelta_.text;
 }
 
 auto GatewayHost::registryRead(const direct::RegistrySnapshot &snapshot) -> void
@@ -57,10 +58,10 @@
     registryRegained();
     mesh_.readerBook().beat(steadyNow());
     // When nobody was heard to read, all are told: else the next in rank would read as well.
-    if (std::exchange(tellsNextAnswer_, false))
-        mesh_.tellNow();
+    if (std::exchange(reportNextAnswer_, false))
+        mesh_.advertiseToAll();
     else
-        mesh_.tellSome();
+        mesh_.advertiseToSome();
 }
 
 auto GatewayHost::nextWatch() const -> Duration
@@ -91,8 +92,8 @@
     }
     logUpstreamChanges(decoded.upstreams);
     dispatcher_.setUpstreams(std::move(decoded.upstreams));
-    if (readsWell() && !readers_.isSpare())
-        mesh_.tellNow();
+    if (isActiveReader() && !readers_.isSpare())
+        mesh_.advertiseToAll();
     releaseEarly(steadyNow());
 }
 
@@ -103,8 +104,8 @@
         before[upstream.id] = upstream;
     const auto revision = static_cast<std::int64_t>(replica_.revision());
     for (const auto &upstream : upstreams) {
-        const auto held = before.find(upstream.id);
-        const auto isNews = held == before.end() || held->second.state != upstream.state;
+        const auto previous = before.find(upstream.id);
+        const auto isNews = previous == before.end() || previous->second.state != upstream.state;
         if (isNews)
             log(LogLine("upstream")
                     .add("upstream", upstream.instance)
@@ -113,8 +114,8 @@
                          upstream.address.ip + ':' + std::to_string(upstream.address.port))
                     .add("state", direct::stateName(upstream.state))
                     .add("revision", revision));
-        if (held != before.end())
-            before.erase(held);
+        if (previous != before.end())
+            before.erase(previous);
     }
     for (const auto &[id, upstream] : before) {
         log(LogLine("upstream-gone").add("upstream", upstream.instance).add("revision", revision));
@@ -122,7 +123,7 @@
     }
 }
 
-auto GatewayHost::peerHeard(const PeerDigest &digest) -> void
+auto GatewayHost::onPeerDigest(const PeerDigest &digest) -> void
 {
     const auto now = steadyNow();
     if (!digest.brief) {
@@ -142,11 +143,11 @@
     }
     if (!behindSince_)
         behindSince_ = now;
-    if (!dispatcher_.ready() || !readsWell() || now - *behindSince_ >= behindFor)
+    if (!dispatcher_.ready() || !isActiveReader() || now - *behindSince_ >= catchUpDelay)
         mesh_.fetchNewer(replica_.revision());
 }
 
-auto GatewayHost::readsWell() const -> bool
+auto GatewayHost::isActiveReader() const -> bool
 {
     return readers_.reads() && replica_.reachable() && replica_.revision() > 0;
 }
@@ -158,9 +159,9 @@
     return replica_.revision();
 }
 
-auto GatewayHost::decideReading(Instant now) -> void
+auto GatewayHost::updateReaderRole(Instant now) -> void
 {
-    noteQuiet(now);
+    noteRegistrySilence(now);
     direct::HeardRanks heard;
     for (const auto &reader : mesh_.readerBook().readers(now))
         heard.reading.push_back(direct::readerRank(reader.router));
@@ -170,16 +171,16 @@
     const auto reads = readers_.decide(heard, now);
     if (reads == before)
         return;
-    noteTurn(reads, heard.reading.size(), now);
-    tellsNextAnswer_ = reads && heard.reading.empty();
+    noteReaderRole(reads, heard.reading.size(), now);
+    reportNextAnswer_ = reads && heard.reading.empty();
     // What the readers tell counts like the registry's own word.
     if (!reads)
         registryRegained();
-    if (readingTurn_)
-        readingTurn_(reads);
+    if (readerRoleHook_)
+        readerRoleHook_(reads);
 }
 
-auto GatewayHost::noteQuiet(Instant now) -> void
+auto GatewayHost::noteRegistrySilence(Instant now) -> void
 {
     const auto limit = direct::RegistryReaders::quietFor(settings_.changeWithin);
     // One that reads itself knows by its own calls.
@@ -189,7 +190,7 @@
     log(LogLine("registry-quiet").add("sinceAnswerMs", sinceAnswerMs(now)));
 }
 
-auto GatewayHost::noteTurn(bool reads, std::size_t readers, Instant now) -> void
+auto GatewayHost::noteReaderRole(bool reads, std::size_t readers, Instant now) -> void
 {
     const auto *event = reads ? "registry-turn" : "registry-turn-over";
     metrics_.noteEvent(event);
@@ -206,7 +207,7 @@
     return since ? std::chrono::duration_cast<std::chrono::milliseconds>(*since).count() : never;
 }
 
-auto GatewayHost::peerNews(const direct::RegistryNews &news) -> void
+auto GatewayHost::onPeerDelta(const direct::RegistryNews &news) -> void
 {
     const auto before = replica_.revision();
     // A peer that was killed may have lost what it told of. It is asked again with the next tick:
--- a/src/gateway/http-message.cc
+++ b/src/gateway/http-message.cc
@@ -18,15 +18,15 @@
 
 using Field = HeaderList::Field;
 
-constexpr std::array<std::string_view, 9> alwaysOfOneConnection = {"Connection",
-                                                                   "Keep-Alive",
-                                                                   "Proxy-Connection",
-                                                                   "Proxy-Authenticate",
-                                                                   "Proxy-Authorization",
-                                                                   "TE",
-                                                                   "Trailer",
-                                                                   "Transfer-Encoding",
-                                                                   "Upgrade"};
+constexpr std::array<std::string_view, 9> hopByHopNames = {"Connection",
+                                                           "Keep-Alive",
+                                                           "Proxy-Connection",
+                                                           "Proxy-Authenticate",
+                                                           "Proxy-Authorization",
+                                                           "TE",
+                                                           "Trailer",
+                                                           "Transfer-Encoding",
+                                                           "Upgrade"};
 
 auto lower(char c) -> char
 {
@@ -89,12 +89,12 @@
     return ReadState::Done;
 }
 
-auto framingOf(int status, bool toHead, bool isChunked, bool hasLength) -> Framing
+auto framingOf(int status, bool isHead, bool isChunked, bool hasLength) -> Framing
 {
     constexpr int firstFinal = 200;
     constexpr int noContent = 204;
     constexpr int notModified = 304;
-    if (toHead || status < firstFinal || status == noContent || status == notModified)
+    if (isHead || status < firstFinal || status == noContent || status == notModified)
         return Framing::NoBody;
     if (isChunked)
         return Framing::Chunked;
@@ -134,12 +134,12 @@
                       [name](const Field &field) { return equalsIgnoringCase(field.name, name); }));
 }
 
-auto connectionHeaders(const HeaderList &headers, const std::vector<std::string> &kept)
+auto hopByHopHeaders(const HeaderList &headers, const std::vector<std::string> &endToEnd)
     -> std::vector<std::string>
 {
-    std::vector<std::string> names(alwaysOfOneConnection.begin(), alwaysOfOneConnection.end());
-    const auto isKept = [&kept](std::string_view name) {
-        return std::any_of(kept.begin(), kept.end(), [name](const std::string &each) {
+    std::vector<std::string> names(hopByHopNames.begin(), hopByHopNames.end());
+    const auto isEndToEnd = [&endToEnd](std::string_view name) {
+        return std::any_of(endToEnd.begin(), endToEnd.end(), [name](const std::string &each) {
             return equalsIgnoringCase(each, name);
         });
     };
@@ -147,7 +147,7 @@
         if (!equalsIgnoringCase(field.name, "Connection"))
             continue;
         for (const auto name : splitList(field.value)) {
-            if (!isKept(name))
+            if (!isEndToEnd(name))
                 names.emplace_back(name);
         }
     }
@@ -254,12 +254,12 @@
 
 auto RequestReader::on_finish_impl(ErrorCode & /*error*/) -> void { }
 
-ResponseReader::ResponseReader(Hooks hooks, bool toHead)
+ResponseReader::ResponseReader(Hooks hooks, bool isHead)
     : hooks_(std::move(hooks))
-    , toHead_(toHead)
+    , isHead_(isHead)
 {
     Base::eager(true);
-    Base::skip(toHead);
+    Base::skip(isHead);
     // Not `none`: this version of the library takes every length for larger than that.
     Base::body_limit(std::numeric_limits<std::uint64_t>::max());
 }
@@ -308,7 +308,7 @@
     }
     head_.keepAlive = Base::keep_alive();
     head_.length = length.value_or(0);
-    head_.framing = framingOf(head_.status, toHead_, Base::chunked(), length.has_value());
+    head_.framing = framingOf(head_.status, isHead_, Base::chunked(), length.has_value());
     hooks_.head(head_);
 }
 
--- a/src/gateway/onward.cc
+++ b/src/gateway/onward.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr int mostUrgent = 0;
-constexpr int leastUrgent = 9;
+constexpr int highestPriority = 0;
+constexpr int lowestPriority = 9;
 
 auto millisecondsText(Duration duration) -> std::string
 {
@@ -22,58 +22,60 @@
 auto headersWithout(const HeaderList &headers, const std::vector<std::string> &dropped)
     -> HeaderList
 {
-    HeaderList kept;
+    HeaderList remaining;
     for (const auto &field : headers.fields()) {
         const auto isDropped =
             std::any_of(dropped.begin(), dropped.end(), [&field](const std::string &name) {
                 return equalsIgnoringCase(name, field.name);
             });
         if (!isDropped)
-            kept.add(field.name, field.value);
+            remaining.add(field.name, field.value);
     }
-    return kept;
+    return remaining;
 }
 
-auto onwardHead(const ResponseHead &head) -> ResponseHead
+auto forwardedHead(const ResponseHead &head) -> ResponseHead
 {
-    auto dropped = connectionHeaders(head.headers, {});
+    auto dropped = hopByHopHeaders(head.headers, {});
     dropped.emplace_back("Content-Length");
-    ResponseHead onward;
-    onward.status = head.status;
-    onward.reason = head.reason;
-    onward.headers = headersWithout(head.headers, dropped);
-    return onward;
+    ResponseHead forwarded;
+    forwarded.status = head.status;
+    forwarded.reason = head.reason;
+    forwarded.headers = headersWithout(head.headers, dropped);
+    return forwarded;
 }
 
 auto Exchange::upstreamText() const -> std::string
 {
-    const auto &words = *host_.vocabulary;
-    auto dropped = connectionHeaders(request_.headers, words.kept);
-    dropped.insert(dropped.end(), words.routerOnly.begin(), words.routerOnly.end());
+    const auto &vocabulary = *environment_.vocabulary;
+    auto dropped = hopByHopHeaders(request_.headers, vocabulary.kept);
+    dropped.insert(dropped.end(), vocabulary.routerOnly.begin(), vocabulary.routerOnly.end());
     for (const auto *own : {"Authorization", "Content-Length", "Expect"})
         dropped.emplace_back(own);
-    for (const auto &own : {words.deadline, words.customer, words.expectInstance, words.priority})
+    for (const auto &own :
+         {vocabulary.deadline, vocabulary.customer, vocabulary.expectInstance, vocabulary.priority})
         dropped.push_back(own);
     const auto resumes = phase_ == Phase::Relaying && !events_.lastId().empty();
     if (resumes)
-        dropped.push_back(words.lastEventId);
-    RequestMessage onward;
-    onward.method = request_.method;
-    onward.target = request_.target;
-    onward.body = request_.body;
-    onward.headers = headersWithout(request_.headers, dropped);
-    onward.headers.add(words.deadline, millisecondsText(left()));
-    onward.headers.add(words.expectInstance, now_.choice.upstream.instance);
+        dropped.push_back(vocabulary.lastEventId);
+    RequestMessage forwarded;
+    forwarded.method = request_.method;
+    forwarded.target = request_.target;
+    forwarded.body = request_.body;
+    forwarded.headers = headersWithout(request_.headers, dropped);
+    forwarded.headers.add(vocabulary.deadline, millisecondsText(timeLeft()));
+    forwarded.headers.add(vocabulary.expectInstance, attempt_.choice.upstream.instance);
     if (!permit_.customer.empty())
-        onward.headers.add(words.customer, permit_.customer);
+        forwarded.headers.add(vocabulary.customer, permit_.customer);
     if (!demand_.prompt.empty())
-        onward.headers.add(words.priority,
-                           std::to_string(std::clamp(permit_.priority, mostUrgent, leastUrgent)));
+        forwarded.headers.add(
+            vocabulary.priority,
+            std::to_string(std::clamp(permit_.priority, highestPriority, lowestPriority)));
     if (resumes)
-        onward.headers.add(words.lastEventId, events_.lastId());
-    if (const auto &from = now_.choice.fetchFrom)
-        onward.headers.add(words.fetchFrom, from->ip + ':' + std::to_string(from->port));
-    return requestText(onward);
+        forwarded.headers.add(vocabulary.lastEventId, events_.lastId());
+    if (const auto &from = attempt_.choice.fetchFrom)
+        forwarded.headers.add(vocabulary.fetchFrom, from->ip + ':' + std::to_string(from->port));
+    return requestText(forwarded);
 }
 
 } // namespace applehatch::gateway
--- a/src/gateway/onward.h
+++ b/src/gateway/onward.h
@@ -13,6 +13,6 @@
                                   const std::vector<std::string> &dropped) -> HeaderList;
 
 /// Status and headers of an upstream's answer as its caller gets them; the framing is the caller's.
-[[nodiscard]] auto onwardHead(const ResponseHead &head) -> ResponseHead;
+[[nodiscard]] auto forwardedHead(const ResponseHead &head) -> ResponseHead;
 
 } // namespace applehatch::gateway
--- a/src/gateway/peer-digest.cc
+++ b/src/gateway/peer-digest.cc
@@ -19,8 +19,8 @@
 
 // All entries of a registry hold values of up to a megabyte each; the reader stops far beyond any
 // real one.
-constexpr std::uint64_t mostBytes = std::uint64_t{64} * 1024 * 1024;
-constexpr std::uint64_t mostWords = mostBytes / sizeof(capnp::word);
+constexpr std::uint64_t maxMessageBytes = std::uint64_t{64} * 1024 * 1024;
+constexpr std::uint64_t maxMessageWords = maxMessageBytes / sizeof(capnp::word);
 
 auto bytesOf(capnp::MallocMessageBuilder &message) -> std::string
 {
@@ -63,7 +63,7 @@
     std::uint64_t length = 0;
     for (std::size_t i = 0; i < lengthBytes; ++i)
         length |= std::uint64_t{static_cast<unsigned char>(bytes[i])} << (8 * i);
-    if (length > mostBytes)
+    if (length > maxMessageBytes)
         return std::nullopt;
     std::string plain(length, '\0');
     auto size = static_cast<uLongf>(length);
@@ -86,7 +86,7 @@
 auto readerOptions() -> capnp::ReaderOptions
 {
     capnp::ReaderOptions options;
-    options.traversalLimitInWords = mostWords;
+    options.traversalLimitInWords = maxMessageWords;
     return options;
 }
 
--- a/src/gateway/peer-mesh.cc
+++ b/src/gateway/peer-mesh.cc
@@ -33,12 +33,12 @@
     : pool_(pool)
     , self_(std::move(self))
     , hooks_(std::move(hooks))
-    , life_(telemetry::wallMicroseconds())
-    , table_(self_, period, life_)
+    , incarnation_(telemetry::wallMicroseconds())
+    , table_(self_, digestInterval, incarnation_)
     , socket_(loop)
     , timer_(loop.get_executor())
     , fetchTimer_(loop.get_executor())
-    , random_(static_cast<std::uint32_t>(core::stableHash(keyOf(self_), life_)))
+    , random_(static_cast<std::uint32_t>(core::stableHash(keyOf(self_), incarnation_)))
 { }
 
 PeerMesh::~PeerMesh()
@@ -76,7 +76,7 @@
     if (!digest)
         return hooks_.note("datagram-unreadable", from_.address().to_string());
     if (table_.apply(*digest, telemetry::steadyNow()))
-        hooks_.heard(*digest);
+        hooks_.digestReceived(*digest);
 }
 
 auto PeerMesh::tick() -> void
@@ -84,7 +84,7 @@
     const auto now = telemetry::steadyNow();
     send(false, table_.nextTargets(now));
     noteLiveness(now);
-    timer_.start(period, [this] { tick(); });
+    timer_.start(digestInterval, [this] { tick(); });
 }
 
 auto PeerMesh::send(bool brief, const std::vector<Address> &targets) -> void
@@ -92,7 +92,7 @@
     const auto now = telemetry::steadyNow();
     PeerDigest digest;
     digest.sender = self_;
-    digest.life = life_;
+    digest.life = incarnation_;
     digest.sequence = ++sequence_;
     digest.brief = brief;
     hooks_.fill(digest);
@@ -105,13 +105,13 @@
     }
 }
 
-auto PeerMesh::tellNow() -> void
+auto PeerMesh::advertiseToAll() -> void
 {
     if (socket_.is_open())
         send(true, table_.targets(telemetry::steadyNow()));
 }
 
-auto PeerMesh::tellSome() -> void
+auto PeerMesh::advertiseToSome() -> void
 {
     if (socket_.is_open())
         send(true, table_.nextTold(telemetry::steadyNow()));
@@ -148,7 +148,7 @@
     const auto now = telemetry::steadyNow();
     std::uint64_t newest = revision;
     std::vector<Address> peers;
-    const auto weigh = [&](const Address &address, std::uint64_t known) {
+    const auto consider = [&](const Address &address, std::uint64_t known) {
         if (known <= revision || known < newest)
             return;
         if (known > newest)
@@ -157,9 +157,9 @@
         peers.push_back(address);
     };
     for (const auto &row : table_.alive(now))
-        weigh(row.address, row.revision);
+        consider(row.address, row.revision);
     for (const auto &reader : table_.readerBook().readers(now))
-        weigh(reader.router, reader.revision);
+        consider(reader.router, reader.revision);
     if (peers.empty())
         return std::nullopt;
     return peers[random_() % peers.size()];
@@ -174,18 +174,18 @@
         return;
     fetchPending_ = true;
     fetchTimer_.start(fetchTimeout, [this] {
-        if (const auto connection = settleFetch())
+        if (const auto connection = finishFetch())
             connection->abort();
     });
     pool_.acquire(*peer, [this, peer, revision](const UpstreamConnectionPtr &connection, bool) {
         if (connection)
             return request(*peer, revision, connection);
-        settleFetch();
+        finishFetch();
         hooks_.note("peer-fetch-failed", keyOf(*peer) + " no connection");
     });
 }
 
-auto PeerMesh::settleFetch() -> UpstreamConnectionPtr
+auto PeerMesh::finishFetch() -> UpstreamConnectionPtr
 {
     fetchPending_ = false;
     fetchTimer_.stop();
@@ -203,18 +203,18 @@
     hooks.head = [](ResponseHead &) {};
     hooks.body = [body](std::string_view bytes) { body->append(bytes); };
     hooks.failed = [this, peer](const std::string &why) {
-        settleFetch();
+        finishFetch();
         hooks_.note("peer-fetch-failed", keyOf(peer) + ' ' + why);
     };
     hooks.done = [this, peer, body] {
-        if (const auto whole = settleFetch())
+        if (const auto whole = finishFetch())
             pool_.release(peer, whole);
         if (const auto news = decodeNews(*body))
-            return hooks_.news(*news);
+            return hooks_.deltaReceived(*news);
         hooks_.note("peer-fetch-failed", keyOf(peer) + " unreadable answer");
     };
     WireRequest wire;
-    wire.text = "GET " + std::string(newsPath) + std::to_string(revision)
+    wire.text = "GET " + std::string(deltaPath) + std::to_string(revision)
         + " HTTP/1.1\r\nHost: " + peer.ip + "\r\n\r\n";
     connection->send(std::move(wire), std::move(hooks));
 }
--- a/src/gateway/status.h
+++ b/src/gateway/status.h
@@ -3,7 +3,7 @@
 
 namespace applehatch::gateway {
 
-inline constexpr int firstFailure = 500;
+inline constexpr int firstServerError = 500;
 inline constexpr int requestTimeout = 408;
 inline constexpr int misdirected = 421;
 inline constexpr int tooManyRequests = 429;
@@ -12,7 +12,7 @@
 inline constexpr int firstRedirect = 300;
 
 // Statuses that tell a caller that its request did not run and never will.
-[[nodiscard]] inline auto promisesNotRun(int status) -> bool
+[[nodiscard]] inline auto impliesNotRun(int status) -> bool
 {
     return status == requestTimeout || status == misdirected || status == tooManyRequests
         || status == unavailable;
--- a/src/gateway/timer.cc
+++ b/src/gateway/timer.cc
@@ -6,28 +6,28 @@
 
 Timer::Timer(const boost::asio::any_io_executor &executor)
     : timer_(executor)
-    , turn_(std::make_shared<std::uint64_t>(0))
+    , generation_(std::make_shared<std::uint64_t>(0))
 { }
 
 Timer::~Timer()
 {
-    ++*turn_;
+    ++*generation_;
 }
 
 auto Timer::start(Duration after, std::function<void()> action) -> void
 {
-    const auto own = ++*turn_;
+    const auto started = ++*generation_;
     timer_.expires_after(after);
-    timer_.async_wait(
-        [turn = turn_, own, action = std::move(action)](boost::system::error_code error) {
-            if (!error && *turn == own)
-                action();
-        });
+    timer_.async_wait([generation = generation_, started,
+                       action = std::move(action)](boost::system::error_code error) {
+        if (!error && *generation == started)
+            action();
+    });
 }
 
 auto Timer::stop() -> void
 {
-    ++*turn_;
+    ++*generation_;
     timer_.cancel();
 }
 
--- a/src/gateway/upstream-connection.cc
+++ b/src/gateway/upstream-connection.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // An upstream that sends more answers to earlier requests than this is out of step for good.
-constexpr int mostSkipped = 3;
+constexpr int maxSkippedAnswers = 3;
 constexpr int firstFinalStatus = 200;
 
 auto parseSeconds(std::string_view text) -> std::optional<Duration>
@@ -51,7 +51,7 @@
 auto UpstreamConnection::send(WireRequest request, AnswerHooks hooks) -> void
 {
     busy_ = true;
-    skipped_ = 0;
+    skippedAnswers_ = 0;
     request_ = std::move(request);
     hooks_ = std::move(hooks);
     beginAnswer();
@@ -62,15 +62,15 @@
 
 auto UpstreamConnection::beginAnswer() -> void
 {
-    foreign_ = false;
+    isStaleAnswer_ = false;
     informational_ = false;
     ResponseReader::Hooks hooks;
     hooks.head = [this](ResponseHead &head) { takeHead(head); };
     hooks.body = [this](std::string_view bytes) {
-        if (busy_ && !foreign_)
+        if (busy_ && !isStaleAnswer_)
             hooks_.body(bytes);
     };
-    reader_.emplace(std::move(hooks), request_.toHead);
+    reader_.emplace(std::move(hooks), request_.isHead);
 }
 
 auto UpstreamConnection::takeHead(ResponseHead &head) -> void
@@ -81,8 +81,8 @@
     // An upstream may send a second answer to an earlier request where the next one is expected.
     // Taken for the answer, a caller would get what belongs to another; the echoed id tells.
     const auto *id = request_.idHeader.empty() ? nullptr : head.headers.find(request_.idHeader);
-    foreign_ = !request_.idHeader.empty() && (id == nullptr || *id != request_.id);
-    if (foreign_)
+    isStaleAnswer_ = !request_.idHeader.empty() && (id == nullptr || *id != request_.id);
+    if (isStaleAnswer_)
         return;
     keepAlive_ = head.keepAlive;
     noteKeepAlive(head.headers);
@@ -94,7 +94,7 @@
 {
     const auto *value = headers.find("Keep-Alive");
     if (value != nullptr)
-        keptFor_ = parseSeconds(*value);
+        keepAliveTimeout_ = parseSeconds(*value);
 }
 
 auto UpstreamConnection::read(std::string &bytes) -> void
@@ -108,14 +108,14 @@
             return failWith("unreadable answer");
         if (result == ReadState::NeedMore)
             return;
-        if (!informational_ && !foreign_) {
+        if (!informational_ && !isStaleAnswer_) {
             // Bytes after a whole answer belong to no request, and the next answer could not be
             // told apart from them.
             if (!bytes.empty())
                 keepAlive_ = false;
             return finish();
         }
-        if (foreign_ && ++skipped_ > mostSkipped)
+        if (isStaleAnswer_ && ++skippedAnswers_ > maxSkippedAnswers)
             return failWith("answers to other requests");
         beginAnswer();
     }
@@ -149,7 +149,7 @@
     if (error)
         return failWith("connection broke: " + error.message());
     const auto result = reader_->feedEnd();
-    if (result == ReadState::Done && !foreign_ && !informational_ && busy_) {
+    if (result == ReadState::Done && !isStaleAnswer_ && !informational_ && busy_) {
         keepAlive_ = false;
         return finish();
     }
--- a/src/gateway/upstream-pool.cc
+++ b/src/gateway/upstream-pool.cc
@@ -41,38 +41,38 @@
 
 UpstreamPool::~UpstreamPool()
 {
-    for (const auto &[key, kept] : kept_) {
-        for (const auto &each : kept)
+    for (const auto &[key, idle] : idle_) {
+        for (const auto &each : idle)
             each.connection->abort();
     }
 }
 
-auto UpstreamPool::acquire(const Address &address, const Taker &taker) -> void
+auto UpstreamPool::acquire(const Address &address, const AcquireCallback &callback) -> void
 {
-    const auto kept = kept_.find(keyOf(address));
+    const auto idle = idle_.find(keyOf(address));
     const auto now = telemetry::steadyNow();
-    while (kept != kept_.end() && !kept->second.empty()) {
-        const auto last = std::move(kept->second.back());
-        kept->second.pop_back();
+    while (idle != idle_.end() && !idle->second.empty()) {
+        const auto last = std::move(idle->second.back());
+        idle->second.pop_back();
         if (last.until > now && last.connection->isReusable())
-            return taker(last.connection, false);
+            return callback(last.connection, false);
         last.connection->abort();
     }
-    open(address, taker);
+    open(address, callback);
 }
 
-auto UpstreamPool::open(const Address &address, const Taker &taker) -> void
+auto UpstreamPool::open(const Address &address, const AcquireCallback &callback) -> void
 {
     error_code error;
     const auto ip = asio::ip::make_address(address.ip, error);
     if (error)
-        return taker(nullptr, true);
+        return callback(nullptr, true);
     auto opening = std::make_shared<Opening>(loop_);
     opening->socket.open(asio::ip::tcp::v4(), error);
     if (error)
-        return taker(nullptr, true);
+        return callback(nullptr, true);
     ++opened_;
-    const ChannelLimits limits{unacknowledgedLimit};
+    const ChannelLimits limits{unacknowledgedTimeout};
     setChannelOptions(opening->socket, limits);
     opening->timer.expires_after(connectTimeout);
     opening->timer.async_wait([opening](error_code aborted) {
@@ -81,15 +81,17 @@
         error_code ignored;
         opening->socket.close(ignored);
     });
-    opening->socket.async_connect({ip, address.port}, [opening, limits, taker](error_code failed) {
-        opening->settled = true;
-        opening->timer.cancel();
-        if (failed)
-            return taker(nullptr, true);
-        const auto connection = std::make_shared<UpstreamConnection>(std::move(opening->socket));
-        connection->start(limits);
-        taker(connection, true);
-    });
+    opening->socket.async_connect(
+        {ip, address.port}, [opening, limits, callback](error_code failed) {
+            opening->settled = true;
+            opening->timer.cancel();
+            if (failed)
+                return callback(nullptr, true);
+            const auto connection =
+                std::make_shared<UpstreamConnection>(std::move(opening->socket));
+            connection->start(limits);
+            callback(connection, true);
+        });
 }
 
 auto UpstreamPool::release(const Address &address, const UpstreamConnectionPtr &connection) -> void
@@ -98,32 +100,34 @@
         connection->abort();
         return;
     }
-    const auto told = connection->keptFor();
-    const auto kept = told ? std::chrono::duration_cast<Duration>(*told * keptShare) : keptUntold;
-    kept_[keyOf(address)].push_back({connection, telemetry::steadyNow() + kept});
+    const auto announced = connection->keepAliveTimeout();
+    const auto lifetime = announced
+        ? std::chrono::duration_cast<Duration>(*announced * keepAliveShare)
+        : defaultKeepAlive;
+    idle_[keyOf(address)].push_back({connection, telemetry::steadyNow() + lifetime});
 }
 
 auto UpstreamPool::drop(const Address &address) -> void
 {
-    const auto kept = kept_.find(keyOf(address));
-    if (kept == kept_.end())
+    const auto idle = idle_.find(keyOf(address));
+    if (idle == idle_.end())
         return;
-    for (const auto &each : kept->second)
+    for (const auto &each : idle->second)
         each.connection->abort();
-    kept_.erase(kept);
+    idle_.erase(idle);
 }
 
 auto UpstreamPool::expire(Instant now) -> void
 {
-    for (auto &[key, kept] : kept_) {
-        std::erase_if(kept, [now](const Kept &each) {
+    for (auto &[key, idle] : idle_) {
+        std::erase_if(idle, [now](const IdleConnection &each) {
             if (each.until > now && each.connection->isReusable())
                 return false;
             each.connection->abort();
             return true;
         });
     }
-    std::erase_if(kept_, [](const auto &entry) { return entry.second.empty(); });
+    std::erase_if(idle_, [](const auto &entry) { return entry.second.empty(); });
 }
 
 } // namespace applehatch::gateway
