--- a/include/applehatch/gateway/caller-connection.h
+++ b/include/applehatch/gateway/caller-connection.h
@@ -1,4 +1,4 @@
-/// A caller's connection: reads requests one after another and writes their answers.
+/// Server side of a caller's HTTP/1.1 connection.
 #pragma once
 
 #include "applehatch/direct/directory.h"
@@ -17,15 +17,18 @@
 class CallerConnection;
 using CallerPtr = std::shared_ptr<CallerConnection>;
 
-/// What the owner of a listener does for its connections.
+/// Callbacks from a connection to the owner of its listener.
 struct CallerHooks
 {
-    /// A whole request was read; answered through the connection, now or later.
+    /// Called with each complete request, which may be answered at once or later through the
+    /// connection.
     std::function<void(const CallerPtr &, RequestMessage)> request;
+    /// Returns the limits currently in force for callers.
     std::function<direct::CallerLimits()> limits;
 };
 
-/// One request is answered at a time; the next one is read when the answer is whole.
+/// Reads requests and writes their answers, one request at a time: the next one is parsed after the
+/// current answer is complete.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection>
 {
 public:
@@ -33,30 +36,30 @@
 
     auto start() -> void;
 
-    /// Called once if the caller leaves before its answer is whole.
+    /// Sets a callback that runs once if the caller disconnects before its answer is complete.
     auto onDisconnected(std::function<void()> disconnected) -> void
     {
         disconnected_ = std::move(disconnected);
     }
-    /// Called when the caller took what it was sent.
+    /// Sets a callback that runs when everything written has been handed to the kernel.
     auto onFlushed(std::function<void()> flushed) -> void { flushed_ = std::move(flushed); }
 
-    /// The whole answer.
+    /// Sends a complete answer.
     auto answer(ResponseHead head, std::string_view body) -> void;
-    /// The beginning of an answer whose body follows.
+    /// Sends the head of an answer whose body follows through `send` and `end`.
     auto begin(ResponseHead head) -> void;
     auto send(std::string_view body) -> void;
     auto end() -> void;
-    /// Ends an answer that will not be whole, so that the caller can tell.
+    /// Closes the connection in the middle of an answer, so that the caller sees it is incomplete.
     auto abortAnswer() -> void;
 
-    /// Whether the caller is slower than the upstream.
+    /// Whether too much of the answer is still unsent because the caller reads slowly.
     [[nodiscard]] auto isCongested() const -> bool;
-    /// Whether the caller is still there to be answered.
+    /// Whether a request is being answered and the caller is still connected.
     [[nodiscard]] auto isAwaitingAnswer() const -> bool { return state_ == State::Answering; }
     [[nodiscard]] auto isIdle() const -> bool { return state_ == State::Reading && !requestBegun_; }
-    /// Announces the close with the next answer; closes now when idle and `closeIdle`,
-    /// unless it was opened a moment ago.
+    /// Announces the close of the connection with the next answer. With `closeIdle`, an idle
+    /// connection is closed at once unless it was opened within the last second.
     auto retire(bool closeIdle) -> void;
     auto abort() -> void;
 
@@ -72,7 +75,7 @@
     auto refuse(int status) -> void;
     auto takeRequest() -> void;
     auto finishAnswer() -> void;
-    /// Ends the connection unless a request has come meanwhile that is not read yet.
+    /// Ends the connection unless it has unread bytes, which may be a new request.
     auto closeIdle() -> void;
     auto awaitRequest() -> void;
     auto ended() -> void;
@@ -86,9 +89,9 @@
     std::function<void()> flushed_;
     State state_ = State::Reading;
     std::optional<RequestReader> reader_;
-    std::string input_; // Bytes not yet taken; what comes during an answer waits here.
+    std::string input_; // Unparsed bytes, including those received during an answer.
     Framing framing_ = Framing::Length;
-    bool requestBegun_ = false; // Bytes of the next request came.
+    bool requestBegun_ = false; // Bytes of the next request have arrived.
     bool closeAfterAnswer_ = false;
 };
 
--- a/include/applehatch/gateway/channel.h
+++ b/include/applehatch/gateway/channel.h
@@ -1,4 +1,4 @@
-/// One TCP connection on the event loop.
+/// Buffered TCP connection on the event loop.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -15,31 +15,33 @@
 
 using core::Duration;
 
-/// How soon the kernel gives a silent connection up.
+/// Limits after which the kernel gives up on an unresponsive connection.
 struct ChannelLimits
 {
-    /// Unacknowledged bytes for this long end the connection; 0 leaves it to the kernel.
+    /// Ends the connection when sent bytes stay unacknowledged for this long; 0 keeps the kernel's
+    /// default.
     Duration unacknowledgedTimeout{0};
-    /// An idle connection is probed this often, in whole seconds; two misses end it.
+    /// Interval of TCP keep-alive probes on an idle connection; two unanswered probes end it.
     std::chrono::seconds probeInterval{1};
 };
 
-/// Reads as bytes come, writes as the peer takes them.
+/// Non-blocking, buffered TCP connection.
 ///
-/// Connections may go silent for good without a reset, because something between the two ends lost
-/// track of them. A request sent on one would wait for its deadline. Probes and the limit on
+/// A connection may go silent for good without a reset when a device on the path drops its state. A
+/// request sent on it would wait until its deadline. Keep-alive probes and the limit on
 /// unacknowledged bytes end such a connection within seconds.
 class Channel : public std::enable_shared_from_this<Channel>
 {
 public:
     struct Hooks
     {
-        /// Bytes came; takes what it needs from the front. May be called with bytes left over.
+        /// Called when bytes arrive; consumes what it needs from the front. Bytes that it leaves
+        /// are passed again, in front of new ones.
         std::function<void(std::string &)> data;
-        /// The peer closed in order (no error) or the connection broke. Called at most once, and
-        /// never after `close` or `abort`.
+        /// Called when the peer closes the connection in order (no error) or the connection fails.
+        /// Called at most once, and never after `close` or `abort`.
         std::function<void(boost::system::error_code)> ended;
-        /// All that was written has been handed to the kernel.
+        /// Called when everything written has been handed to the kernel.
         std::function<void()> flushed;
     };
 
@@ -52,12 +54,13 @@
 
     auto start(Hooks hooks, ChannelLimits limits) -> void;
     auto write(std::string_view bytes) -> void;
-    /// Bytes have come that were not read yet; closing now would lose them.
+    /// Whether received bytes are still unread; closing now would lose them.
     [[nodiscard]] auto hasUnread() const -> bool;
+    /// Bytes written but not yet handed to the kernel.
     [[nodiscard]] auto unsent() const -> std::size_t { return out_.size(); }
-    /// While paused no bytes are read, so that a fast sender is slowed by a slow receiver.
+    /// Stops or resumes reading, so that a slow receiver slows down a fast sender.
     auto setPaused(bool paused) -> void;
-    /// Sends what is queued, then closes; waits a little for the peer to read it.
+    /// Sends the queued bytes, then shuts down sending and waits for the peer to close.
     auto close() -> void;
     /// Closes at once; the peer sees a reset.
     auto abort() -> void;
@@ -67,7 +70,7 @@
 private:
     enum class State {
         Open,
-        Closing, ///< Sending the rest.
+        Closing, ///< Sending the queued bytes, then waiting for the peer to close.
         Closed,
     };
 
@@ -89,7 +92,7 @@
     bool paused_ = false;
 };
 
-/// Sets the limits on a socket; also for sockets that are still connecting.
+/// Applies the limits to a socket, which may still be connecting.
 auto setChannelOptions(Channel::Socket &socket, ChannelLimits limits) -> void;
 
 } // namespace applehatch::gateway
--- a/include/applehatch/gateway/event-cutter.h
+++ b/include/applehatch/gateway/event-cutter.h
@@ -1,4 +1,4 @@
-/// Cuts a stream of server-sent events into whole events.
+/// Splits a stream of server-sent events into complete events.
 #pragma once
 
 #include <cstdint>
@@ -8,21 +8,26 @@
 
 namespace applehatch::gateway {
 
-/// An upstream may stop in the middle of an event. Only whole events are passed on, so that another
-/// upstream can go on after the last one and the caller never sees two pieces joined.
+/// Incremental splitter for server-sent events.
+///
+/// An upstream may stop in the middle of an event. Only complete events are forwarded, so that
+/// another upstream can resume after the last one and the caller never receives an event joined
+/// from two parts.
 class EventSplitter
 {
 public:
-    /// Takes bytes; gives the whole events that they complete.
+    /// Appends bytes and returns all events that are now complete.
     [[nodiscard]] auto feed(std::string_view bytes) -> std::string;
-    /// Forgets the beginning of an event that will not be completed.
+    /// Discards an incomplete event.
     auto dropPartial() -> void { partial_.clear(); }
-    /// What is left after the last whole event.
+    /// Bytes after the last complete event.
     [[nodiscard]] auto partial() const -> const std::string & { return partial_; }
-    /// The id of the last whole event; empty before the first.
+    /// Last event id seen in a complete event; empty before the first.
     [[nodiscard]] auto lastId() const -> const std::string & { return lastId_; }
+    /// Number of complete events so far.
     [[nodiscard]] auto events() const -> std::uint64_t { return events_; }
-    /// Whether ids rose from each event to the next; false once a resumed stream went back.
+    /// Whether numeric event ids have been strictly increasing; false once a resumed stream
+    /// repeated or went back to an earlier id.
     [[nodiscard]] auto isInOrder() const -> bool { return inOrder_; }
 
 private:
--- a/include/applehatch/gateway/exchange.h
+++ b/include/applehatch/gateway/exchange.h
@@ -1,4 +1,4 @@
-/// One caller's request on its way through the gateway.
+/// Handling of one caller's request by the gateway.
 #pragma once
 
 #include "applehatch/direct/dispatcher.h"
@@ -19,7 +19,7 @@
 
 namespace applehatch::gateway {
 
-/// How a request ended, for the log and the counters.
+/// Result of a request, for the log and the metrics.
 struct ExchangeReport
 {
     std::string requestId;
@@ -27,57 +27,60 @@
     std::string service;
     std::string customer;
     std::string outcome; ///< Such as `answered`, `refused`, `broken-off`, `caller-left`.
-    std::string reason;  ///< What decided, for people.
-    int status = 0;      ///< Told to the caller; 0 when nothing was.
+    std::string reason;  ///< Human-readable cause of the outcome.
+    int status = 0;      ///< HTTP status sent to the caller; 0 when none was sent.
     std::string upstream;
-    std::uint32_t sent = 0; ///< Upstreams that it was sent to.
-    std::uint32_t upstreamLoad = 0;
-    std::uint32_t usable = 0;
+    std::uint32_t sent = 0;          ///< Number of upstreams to which the request was sent.
+    std::uint32_t upstreamLoad = 0;  ///< Load of the upstream when it was chosen.
+    std::uint32_t usable = 0;        ///< Number of usable upstreams at that time.
     std::uint64_t context = 0;       ///< Hash of the prompt's shared parts; 0 without a prompt.
-    std::uint32_t contextTokens = 0; ///< Of these parts.
-    bool heldContext = false;
-    std::string fetchedFrom; ///< The engine that the context was to come from; empty for none.
+    std::uint32_t contextTokens = 0; ///< Tokens in the prompt's shared parts.
+    bool heldContext = false;        ///< Whether the chosen engine already had the context.
+    std::string fetchedFrom;         ///< Engine named as source of the context; empty for none.
     bool resumed = false;
     std::uint64_t configurationVersion = 0;
     Duration duration{0};
-    std::optional<Duration> firstByte;
+    std::optional<Duration> firstByte; ///< Time to the first event, or to the whole answer.
 };
 
-/// What all exchanges of a process share.
+/// Services shared by all exchanges of a process.
 struct ExchangeEnvironment
 {
     boost::asio::io_context *loop = nullptr;
     direct::Dispatcher *dispatcher = nullptr;
     UpstreamPool *pool = nullptr;
     const Vocabulary *vocabulary = nullptr;
-    /// One line for each decision on the way; the request's id, an event and what decided it.
+    /// Logs a routing decision: the request id, the event's name and its cause.
     std::function<void(const std::string &id, const std::string &event, const std::string &why)>
         note;
     std::function<void(const ExchangeReport &)> ended;
     direct::StreamPace *pace = nullptr;
-    /// How long streams that begin now have, where the process stops and no longer takes them all.
+    /// Time left for streams that begin now; none unless the process is stopping and only accepts
+    /// streams that can still finish.
     std::function<std::optional<Duration>()> streamTimeLeft;
 };
 
-/// Sends a request to one upstream after another as its route allows, and relays the answer.
+/// Sends a request to an upstream, retries on others as its route allows, and relays the answer.
 ///
-/// Nothing here waits for its own sake: an answer goes to the caller the moment it is known.
+/// No artificial delays are added: an answer is sent to the caller as soon as it is known.
 class Exchange : public std::enable_shared_from_this<Exchange>
 {
 public:
-    /// Connections that may fail to open before the request is refused.
+    /// Number of failed connection attempts after which the request is refused.
     static constexpr std::uint32_t maxConnectFailures = 4;
-    /// A request that may be repeated is taken elsewhere when an upstream has sent nothing for
-    /// this many times the route's objective, or the longest pause between its events.
+    /// A repeatable request is sent to another upstream when the current one has been silent for
+    /// this multiple of the route's objective, or, once events flow, of the route's longest pause
+    /// between events. The resulting timeout is clamped to the bounds below.
     static constexpr int silenceTimeoutInObjectives = 3;
     static constexpr int silenceTimeoutInPauses = 4;
     static constexpr Duration minSilenceTimeout = std::chrono::milliseconds(200);
     static constexpr Duration maxSilenceTimeout = std::chrono::milliseconds(1500);
-    /// The wait is counted in so many steps and a last look, in which all sockets have their turn.
+    /// The silence timeout runs in this many steps plus a final one, in which the event loop gets
+    /// to read all sockets.
     static constexpr int silenceSteps = 4;
     static constexpr Duration finalSilenceStep = std::chrono::milliseconds(20);
-    /// Answers of plain services up to this size are held until whole, so that one that breaks off
-    /// can be fetched again from another upstream.
+    /// Answers of plain services up to this size are buffered until complete, so that a truncated
+    /// one can be requested again from another upstream.
     static constexpr std::size_t maxBufferedBytes = 262144;
 
     Exchange(const ExchangeEnvironment &environment, CallerPtr caller, RequestMessage request);
@@ -88,12 +91,12 @@
     using Failure = core::Failure;
 
     enum class Phase {
-        AwaitingAnswer, ///< Nothing of an answer has reached the caller.
-        Relaying,       ///< The caller has the head of the answer.
+        AwaitingAnswer, ///< No part of an answer has been sent to the caller.
+        Relaying,       ///< The head of the answer has been sent to the caller.
         Ended,
     };
 
-    /// One upstream's part.
+    /// State of the request at one upstream.
     struct Attempt
     {
         direct::Choice choice;
@@ -104,16 +107,18 @@
         bool served = false;
         bool isStream = false;
         std::optional<ResponseHead> head;
-        std::string bufferedBody; ///< Body of an answer that is not relayed as it comes.
+        std::string bufferedBody; ///< Body of an answer that is not streamed.
     };
 
     auto readRequestOptions() -> void;
     [[nodiscard]] auto cannotFinishBeforeStop() const -> bool;
-    /// Begins at the best upstream; false, with `refusal_` set, when there is none.
+    /// Starts an attempt at the best upstream. Returns false and sets `refusal_` when there is
+    /// none.
     auto startAttempt() -> bool;
-    /// Begins at another upstream when the route, the budget and the time allow and there is one.
+    /// Starts an attempt at another upstream if there is one and the route, the retry budget and
+    /// the deadline allow it. Returns whether an attempt was started.
     auto retry(const std::string &why) -> bool;
-    /// Nothing more can be tried.
+    /// Sends the final answer when no further attempt is possible.
     auto answerAfterLastAttempt() -> void;
     auto useConnection(const UpstreamConnectionPtr &connection, bool isNew) -> void;
     auto sendRequest() -> void;
@@ -131,9 +136,9 @@
     auto finishRelay() -> void;
     auto deliverBuffered() -> void;
     auto closeAttempt(bool keepConnection) -> void;
-    /// Tells the decisions that the request has left its upstream.
+    /// Reports to the dispatcher that the request has left its upstream.
     auto recordAttemptEnd() -> void;
-    /// Another upstream when that may be; else the final answer.
+    /// Retries at another upstream if possible, otherwise sends the final answer.
     auto retryOrAnswer(const Failure &failure) -> void;
     [[nodiscard]] auto mayRepeat() const -> bool;
     auto answerFailure(const Failure &failure) -> void;
@@ -156,15 +161,15 @@
     EventSplitter events_;
     Timer deadlineTimer_;
     Timer silenceTimer_;
-    std::uint32_t maxTokens_ = 0; // Of the answer; 0 when that is not told.
+    std::uint32_t maxTokens_ = 0; // Maximum tokens of the answer; 0 if unknown.
     std::uint32_t sent_ = 0;
     std::uint32_t connectFailures_ = 0;
-    bool mayHaveRun_ = false; // At some upstream, whatever became of it there.
+    bool mayHaveRun_ = false; // Some upstream may have run the request, even if it failed there.
     Failure refusal_;         // Why no upstream could be chosen.
     ExchangeReport report_;
 };
 
-/// The HTTP status by which callers of a gateway are told of a failure.
+/// HTTP status that a gateway sends to its callers for a failure.
 [[nodiscard]] auto statusOf(const core::Failure &failure) -> int;
 
 } // namespace applehatch::gateway
--- a/include/applehatch/gateway/gateway-host.h
+++ b/include/applehatch/gateway/gateway-host.h
@@ -1,4 +1,4 @@
-/// The process of a router that calls upstreams itself.
+/// Router process that calls upstreams itself.
 #pragma once
 
 #include "applehatch/direct/dispatcher.h"
@@ -24,7 +24,7 @@
 
 namespace applehatch::gateway {
 
-/// What one gateway process is told at its start.
+/// Settings of one gateway process.
 struct GatewaySettings
 {
     std::string name;
@@ -32,21 +32,21 @@
     Address callers;
     Address readiness;
     Address metrics;
-    Address peers; ///< Datagrams and registry views.
+    Address peers; ///< For digests over UDP and registry deltas over HTTP.
     std::vector<Address> seeds;
     direct::RetryLimits retries;
     direct::LoadBound loadBound;
-    Duration stopWithin = std::chrono::seconds(8); ///< From the request to stop to its end.
-    /// From the registry's word of a change until it is in force on every router.
+    Duration stopWithin = std::chrono::seconds(8); ///< From the stop request to process exit.
+    /// Maximum time from a change in the registry until it is in force on every router.
     Duration changeWithin = std::chrono::seconds(2);
 };
 
-/// The registry's contents in the project's own types.
+/// Registry contents decoded into routing types.
 struct DecodedRegistry
 {
-    direct::ConfigurationPtr configuration; ///< Null when there is none.
+    direct::ConfigurationPtr configuration; ///< Null if the registry has none.
     direct::UpstreamList upstreams;
-    std::vector<std::string> problems; ///< Entries that could not be used, and why.
+    std::vector<std::string> problems; ///< Entries that could not be decoded, each with its reason.
 };
 
 using RegistryDecoder =
@@ -58,32 +58,33 @@
     GatewayHost(boost::asio::io_context &loop, GatewaySettings settings, Vocabulary vocabulary,
                 RegistryDecoder decoder);
 
-    /// Opens all listeners; an error for the first that cannot be opened.
+    /// Opens all listeners. Returns the error of the first required listener that cannot be opened.
     [[nodiscard]] auto start() -> boost::system::error_code;
-    /// New settings; addresses stay as they are.
+    /// Applies new settings; name, data centre and addresses stay unchanged.
     auto reload(const GatewaySettings &settings) -> void;
-    /// Finishes what is under way and stops the loop.
+    /// Lets requests in flight finish, then stops the event loop.
     auto stop() -> void;
 
-    /// Called when this router's turn to read the registry begins or ends.
+    /// Sets a callback that runs when this router starts or stops being a registry reader.
     auto onReadingTurn(std::function<void(bool reads)> hook) -> void
     {
         readerRoleHook_ = std::move(hook);
     }
-    /// The revision from which the registry may be watched on; none when all of it must be read.
+    /// Revision from which a registry watch can continue; none when a full snapshot is needed.
     [[nodiscard]] auto watchableRevision() const -> std::optional<std::uint64_t>;
 
-    /// How long the next watch waits for a change.
+    /// Timeout of the next registry watch.
     [[nodiscard]] auto nextWatch() const -> Duration;
-    /// How long routers that come first are given to reach the registry when nobody does.
+    /// How long this router lets routers of higher rank try the registry first when no router
+    /// reaches it.
     [[nodiscard]] auto readingDelay() const -> Duration { return readers_.delay(); }
 
-    // From the registry's client.
+    // Events from the registry client.
     auto registryRead(const direct::RegistrySnapshot &snapshot) -> void;
     auto registryChanged(const std::vector<direct::RegistryChange> &changes, std::uint64_t revision)
         -> void;
     auto registryLost(const std::string &why) -> void;
-    /// Any good answer, whether it told of a change or not.
+    /// Called for each successful answer of the registry, with or without a change.
     auto registryAnswered() -> void;
 
     [[nodiscard]] auto isReady() const -> bool;
@@ -97,24 +98,24 @@
     auto answerReadiness(const CallerPtr &caller) const -> void;
     auto answerMetrics(const CallerPtr &caller) -> void;
     auto answerPeer(const CallerPtr &caller, const RequestMessage &request) -> void;
-    /// What a peer that holds revision `held` is told.
+    /// Encoded changes since `peerRevision`, for a peer that has this revision.
     [[nodiscard]] auto deltaSince(std::uint64_t peerRevision) -> const std::string &;
     auto applyRegistry() -> void;
     auto logUpstreamChanges(const direct::UpstreamList &upstreams) -> void;
     auto onPeerDigest(const PeerDigest &digest) -> void;
     auto onPeerDelta(const direct::RegistryNews &news) -> void;
     auto registryRegained() -> void;
-    /// Decides whether this router reads the registry itself.
+    /// Decides whether this router reads the registry itself, and reports a change of role.
     auto updateReaderRole(Instant now) -> void;
     auto noteRegistrySilence(Instant now) -> void;
     auto noteReaderRole(bool reads, std::size_t readers, Instant now) -> void;
-    /// Since the registry last answered anybody; -1 when no answer is known.
+    /// Milliseconds since the registry last answered any router; -1 when no answer is known.
     [[nodiscard]] auto sinceAnswerMs(Instant now) const -> std::int64_t;
     [[nodiscard]] auto isActiveReader() const -> bool;
     auto fillDigest(PeerDigest &digest) -> void;
     auto exchangeEnded(const ExchangeReport &report) -> void;
     auto tick() -> void;
-    /// Tells when the loop was busy with something else for long; true then.
+    /// Records how late this tick is. Returns true and logs an event if the process was stalled.
     auto noteStall(Instant now) -> bool;
     auto continueStop(Instant now) -> void;
     [[nodiscard]] auto streamTimeLeft() const -> std::optional<Duration>;
@@ -139,7 +140,7 @@
     Listener *callers_ = nullptr;
     Timer tick_;
     std::optional<Instant> tickDueAt_;
-    /// A request that came before the first configuration.
+    /// A request received before the first configuration.
     struct EarlyRequest
     {
         CallerPtr caller;
@@ -147,7 +148,7 @@
         Instant until;
     };
 
-    /// News as last encoded; after a change most peers ask for the same.
+    /// Cache of the last encoded delta: after a change most peers request the same one.
     struct EncodedDelta
     {
         std::uint64_t since = 0;
@@ -156,11 +157,12 @@
     };
 
     EncodedDelta lastDelta_;
-    std::deque<EarlyRequest> early_; // Oldest first.
+    std::deque<EarlyRequest> early_; // Ordered by arrival.
     std::size_t inFlight_ = 0;
     std::optional<Instant> stopRequestedAt_;
     std::optional<Instant> behindSince_;
-    bool reportNextAnswer_ = false; // Nobody was heard to read; this router's turn came for it.
+    // Became a reader because no other was known; all peers are notified of the first answer.
+    bool reportNextAnswer_ = false;
 };
 
 } // namespace applehatch::gateway
--- a/include/applehatch/gateway/gateway-metrics.h
+++ b/include/applehatch/gateway/gateway-metrics.h
@@ -1,4 +1,4 @@
-/// Counters and histograms of a gateway.
+/// Metrics of a gateway process.
 #pragma once
 
 #include "applehatch/gateway/exchange.h"
@@ -9,7 +9,7 @@
 
 namespace applehatch::gateway {
 
-/// Values that are kept elsewhere and read at each scrape.
+/// Functions that supply gauge values at each scrape.
 struct GatewayGauges
 {
     std::function<double()> inFlight;
@@ -28,9 +28,9 @@
 
     auto setGauges(GatewayGauges gauges) -> void;
     auto note(const ExchangeReport &report) -> void;
-    /// A decision on the way, such as `retried` or `upstream-silent`.
+    /// Counts an event such as `retried` or `upstream-silent`.
     auto noteEvent(const std::string &event) -> void;
-    /// The event loop was late for its tick by so much.
+    /// Records by how much the event loop was late for its tick.
     auto noteLoopDelay(core::Duration late) -> void;
     [[nodiscard]] auto scrape() -> std::string { return metrics_.scrape(); }
 
--- a/include/applehatch/gateway/http-message.h
+++ b/include/applehatch/gateway/http-message.h
@@ -1,4 +1,4 @@
-/// HTTP/1.1 messages, read by Boost.Beast's parser from bytes as they arrive.
+/// HTTP/1.1 messages and incremental readers based on Boost.Beast's parser.
 #pragma once
 
 #include <boost/beast/http/basic_parser.hpp>
@@ -14,7 +14,7 @@
 
 namespace applehatch::gateway {
 
-/// Names and values in the order in which they came.
+/// Header fields in the order of arrival.
 class HeaderList
 {
 public:
@@ -26,7 +26,7 @@
 
     auto add(std::string_view name, std::string_view value) -> void;
     auto remove(std::string_view name) -> void;
-    /// The first value of `name`, in any case of letters; null without one.
+    /// First value of `name`, compared case-insensitively; null if absent.
     [[nodiscard]] auto find(std::string_view name) const -> const std::string *;
     [[nodiscard]] auto count(std::string_view name) const -> std::size_t;
     [[nodiscard]] auto fields() const -> const std::vector<Field> & { return fields_; }
@@ -37,10 +37,10 @@
 
 [[nodiscard]] auto equalsIgnoringCase(std::string_view a, std::string_view b) -> bool;
 
-/// The headers that concern one connection only: the fixed ones and those that `Connection` names.
+/// Names of the hop-by-hop headers: the standard ones and those listed in `Connection`.
 ///
-/// `kept` is never among them. Without that a caller could have a header that decides how a request
-/// runs dropped on the way by naming it in `Connection`.
+/// Headers in `endToEnd` are never included. Otherwise a caller could list a header that decides
+/// how a request runs in `Connection` and so have it removed.
 [[nodiscard]] auto hopByHopHeaders(const HeaderList &headers,
                                    const std::vector<std::string> &endToEnd)
     -> std::vector<std::string>;
@@ -48,7 +48,7 @@
 struct RequestMessage
 {
     std::string method;
-    std::string target; ///< As sent: path and query.
+    std::string target; ///< Path and query as received.
     HeaderList headers;
     std::string body;
     bool keepAlive = true;
@@ -58,9 +58,9 @@
     [[nodiscard]] auto host() const -> std::string;
 };
 
-/// How a response tells where its body ends.
+/// How the end of a response body is determined.
 enum class Framing {
-    NoBody, ///< Answers to HEAD, 204 and 304.
+    NoBody, ///< Responses to HEAD and responses with status 1xx, 204 or 304.
     Length,
     Chunked,
     UntilClose,
@@ -72,29 +72,29 @@
     std::string reason;
     HeaderList headers;
     Framing framing = Framing::Length;
-    std::uint64_t length = 0; ///< With `Framing::Length`.
+    std::uint64_t length = 0; ///< Body size in bytes; valid with `Framing::Length`.
     bool keepAlive = true;
 };
 
-/// What came of bytes handed to a reader.
+/// Result of passing bytes to a reader.
 enum class ReadState {
     NeedMore,
     Done,
     Failed,
 };
 
-/// Why a request cannot be read.
+/// Why a request is rejected.
 enum class RequestFault {
     Malformed,
     HeaderTooLarge,
     BodyTooLarge,
 };
 
-/// Reads one request.
+/// Incremental reader of one request.
 ///
-/// Whatever could be taken for two different messages is refused: both a length and chunks, a
-/// transfer coding other than `chunked`, more than one `Host`. Otherwise a caller could hide a
-/// request inside another, and an upstream would run what no caller sent.
+/// A message that could be parsed as two different ones is rejected: both a length and chunked
+/// encoding, a transfer coding other than `chunked`, more than one `Host`. Otherwise a caller could
+/// smuggle a request inside another, and an upstream would run a request that no caller sent.
 class RequestReader : private boost::beast::http::basic_parser<true>
 {
     using Base = boost::beast::http::basic_parser<true>;
@@ -102,7 +102,7 @@
 public:
     RequestReader(std::size_t headerBytes, std::size_t bodyBytes);
 
-    /// Takes what it can from the front of `bytes`.
+    /// Consumes as many bytes as possible from the front of `bytes`.
     auto feed(std::string &bytes) -> ReadState;
     [[nodiscard]] auto headRead() const -> bool { return Base::is_header_done(); }
     [[nodiscard]] auto fault() const -> RequestFault { return fault_; }
@@ -132,7 +132,7 @@
     RequestFault fault_ = RequestFault::Malformed;
 };
 
-/// Reads one response after another; the parts are given to hooks as they come.
+/// Incremental reader of one response that passes its parts to hooks as they arrive.
 class ResponseReader : private boost::beast::http::basic_parser<false>
 {
     using Base = boost::beast::http::basic_parser<false>;
@@ -144,11 +144,11 @@
         std::function<void(std::string_view)> body;
     };
 
-    /// `toHead`: the request was a `HEAD`, whose response has no body.
+    /// `isHead`: the request was a `HEAD`, whose response has no body.
     ResponseReader(Hooks hooks, bool isHead);
 
     auto feed(std::string &bytes) -> ReadState;
-    /// The connection was closed in order; whole when the body ends that way.
+    /// Handles an orderly close. Returns `Done` if the close completes the body, else `Failed`.
     auto feedEnd() -> ReadState;
     [[nodiscard]] auto headRead() const -> bool { return Base::is_header_done(); }
     [[nodiscard]] auto keepAlive() const -> bool { return Base::keep_alive(); }
@@ -177,19 +177,19 @@
     bool isHead_;
 };
 
-/// The standard reason phrase of a status.
+/// Standard reason phrase of an HTTP status.
 [[nodiscard]] auto reasonPhrase(int status) -> std::string;
 
-/// `METHOD target HTTP/1.1`, headers and body; the length header is set here.
+/// Serializes an HTTP/1.1 request and adds `Content-Length` where needed.
 [[nodiscard]] auto requestText(const RequestMessage &request) -> std::string;
 
-/// Status line and headers; framing headers are set here.
+/// Serializes the status line and headers, and adds the framing and connection headers.
 [[nodiscard]] auto headText(const ResponseHead &head) -> std::string;
 
-/// One chunk of a chunked body.
+/// Encodes one chunk of a chunked body.
 [[nodiscard]] auto chunkText(std::string_view bytes) -> std::string;
 
-/// The end of a chunked body.
+/// Final chunk of a chunked body.
 inline constexpr std::string_view lastChunk = "0\r\n\r\n";
 
 } // namespace applehatch::gateway
--- a/include/applehatch/gateway/listener.h
+++ b/include/applehatch/gateway/listener.h
@@ -1,4 +1,4 @@
-/// A listening address and the connections that came to it.
+/// Listening socket and the connections accepted on it.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -17,17 +17,18 @@
 {
 public:
     Listener(boost::asio::io_context &loop, CallerHooks hooks);
-    /// Ends its connections: each holds itself while it is open.
+    /// Aborts all connections, since each keeps itself alive while it is open.
     ~Listener();
     Listener(const Listener &) = delete;
     auto operator=(const Listener &) -> Listener & = delete;
 
+    /// Binds to `address` and starts accepting connections.
     [[nodiscard]] auto open(const core::Address &address) -> boost::system::error_code;
-    /// See `CallerConnection::retire`; later connections are retired from their first request on.
+    /// Retires all connections, including those accepted later; see `CallerConnection::retire`.
     auto retire(bool closeIdle) -> void;
     [[nodiscard]] auto connections() const -> std::size_t;
     [[nodiscard]] auto port() const -> std::uint16_t;
-    /// Forgets connections that are gone.
+    /// Removes the entries of closed connections.
     auto sweep() -> void;
 
 private:
--- a/include/applehatch/gateway/peer-digest.h
+++ b/include/applehatch/gateway/peer-digest.h
@@ -1,4 +1,4 @@
-/// What routers tell one another, and its form on the wire.
+/// Gossip digests and registry deltas exchanged between routers, and their encoding.
 #pragma once
 
 #include "applehatch/direct/context-map.h"
@@ -17,29 +17,32 @@
 
 using core::Address;
 
-/// Sent to some peers several times a second, in one datagram.
+/// Gossip digest, sent to some peers several times a second in one datagram.
 struct PeerDigest
 {
     Address sender;
-    std::uint64_t life = 0;     ///< Of the sending process.
-    std::uint64_t sequence = 0; ///< Rises with each digest; an older one changes nothing.
-    std::uint64_t revision = 0; ///< Of the registry, as far as the sender knows.
+    std::uint64_t life = 0;     ///< Incarnation of the sending process.
+    std::uint64_t sequence = 0; ///< Increases with each digest; older digests are ignored.
+    std::uint64_t revision = 0; ///< Latest registry revision known to the sender.
     bool leaving = false;
-    /// Tells only of the registry, at once after a change; the lists below are empty and say
-    /// nothing.
+    /// Set for a digest that is sent between the regular ones and reports only registry state. Its
+    /// lists, except `readers`, are empty and carry no information.
     bool brief = false;
-    std::vector<direct::ReaderWord> readers; ///< The sender among them, if it is one.
-    std::vector<Address> members;            ///< Some of the routers that the sender heard of.
+    /// Registry readers, including the sender if it is one.
+    std::vector<direct::ReaderWord> readers;
+    std::vector<Address> members; ///< Some of the routers known to the sender.
     std::vector<direct::PeerLoad> loads;
     std::vector<direct::CrashCount> crashes;
-    std::vector<direct::ContextPlace> contexts; ///< Used a moment ago.
+    std::vector<direct::ContextPlace> contexts; ///< Recently used contexts.
 };
 
 [[nodiscard]] auto encodeDigest(const PeerDigest &digest) -> std::string;
-/// None for anything that is no digest.
+/// Returns none if `bytes` is not a valid digest.
 [[nodiscard]] auto decodeDigest(std::string_view bytes) -> std::optional<PeerDigest>;
 
+/// Encodes and compresses a registry delta.
 [[nodiscard]] auto encodeNews(const direct::RegistryNews &news) -> std::string;
+/// Returns none if `bytes` is not a valid delta.
 [[nodiscard]] auto decodeNews(std::string_view bytes) -> std::optional<direct::RegistryNews>;
 
 } // namespace applehatch::gateway
--- a/include/applehatch/gateway/peer-mesh.h
+++ b/include/applehatch/gateway/peer-mesh.h
@@ -1,4 +1,4 @@
-/// Datagrams between routers, and fetching the registry's contents from one another.
+/// Gossip between routers over UDP, and fetching of registry deltas from peers.
 #pragma once
 
 #include "applehatch/gateway/caller-connection.h"
@@ -19,14 +19,14 @@
 
 namespace applehatch::gateway {
 
-/// What a mesh asks of its owner.
+/// Callbacks from a mesh to its owner.
 struct PeerMeshHooks
 {
-    /// Fills in what this router tells; sender, life, sequence and members are set by the mesh.
+    /// Fills in this router's state; sender, incarnation, sequence and members are set by the mesh.
     std::function<void(PeerDigest &)> fill;
-    /// A newer digest of a peer came.
+    /// Called with each new digest of a peer; outdated digests are dropped before.
     std::function<void(const PeerDigest &)> digestReceived;
-    /// A peer gave what it knows of the registry.
+    /// Called with a registry delta fetched from a peer.
     std::function<void(const direct::RegistryNews &)> deltaReceived;
     std::function<void(const std::string &event, const std::string &peer)> note;
 };
@@ -34,8 +34,8 @@
 class PeerMesh
 {
 public:
-    /// A digest to the next routers this often: in a small fleet loads are at most this old, in a
-    /// larger one as old as `PeerTable::round`.
+    /// Interval between digests. Loads reported by peers are at most this old in a small fleet, and
+    /// as old as `PeerTable::roundDuration` in a larger one.
     static constexpr Duration digestInterval = std::chrono::milliseconds(200);
 
     PeerMesh(boost::asio::io_context &loop, UpstreamPool &pool, Address self, PeerMeshHooks hooks);
@@ -44,15 +44,16 @@
     auto operator=(const PeerMesh &) -> PeerMesh & = delete;
 
     auto start() -> void;
-    /// Tells the registry's revision at once: peers that are behind learn of a change without
-    /// waiting for the next digest.
+    /// Sends a brief digest with the registry revision to all known peers at once, so that peers
+    /// that are behind learn of a change without waiting for the next regular digest.
     auto advertiseToAll() -> void;
-    /// Tells the next peers that the registry answered; they pass it on.
+    /// Sends a brief digest to the next `PeerTable::fanout` peers, which pass on that the registry
+    /// answered.
     auto advertiseToSome() -> void;
     auto setSeeds(std::vector<Address> seeds) -> void { table_.setSeeds(std::move(seeds)); }
-    /// Asks a peer that knows more of the registry than `revision` for what came since; one at a
-    /// time, and any of those with the newest view, so that a reader does not answer the whole
-    /// fleet.
+    /// Fetches the changes since `revision` from a peer with a newer revision. One fetch runs at a
+    /// time. The peer is picked at random among those with the newest revision, so that a registry
+    /// reader does not have to answer the whole fleet.
     auto fetchNewer(std::uint64_t revision) -> void;
     [[nodiscard]] auto newestRevision(Instant now) const -> std::uint64_t;
     [[nodiscard]] auto table() const -> const PeerTable & { return table_; }
@@ -67,10 +68,10 @@
     auto noteLiveness(Instant now) -> void;
     auto request(const Address &peer, std::uint64_t revision,
                  const UpstreamConnectionPtr &connection) -> void;
-    /// The question under way is answered or given up; returns its connection.
+    /// Marks the pending fetch as finished and returns its connection.
     auto finishFetch() -> UpstreamConnectionPtr;
 
-    /// A peer that takes longer to give its view is left alone; usually it takes milliseconds.
+    /// Timeout for fetching a delta from a peer, which usually takes milliseconds.
     static constexpr Duration fetchTimeout = std::chrono::milliseconds(800);
     static constexpr std::size_t maxDatagramBytes = 65536;
 
@@ -91,7 +92,7 @@
     std::minstd_rand random_;
 };
 
-/// The path at which a router tells its peers of the registry; the revision that the peer holds
+/// Path at which a router serves registry deltas to its peers; the requesting peer's revision
 /// follows.
 inline constexpr std::string_view deltaPath = "/registry?after=";
 
--- a/include/applehatch/gateway/peer-table.h
+++ b/include/applehatch/gateway/peer-table.h
@@ -1,4 +1,4 @@
-/// Which routers there are, and what each told last.
+/// Known routers and the last state received from each.
 #pragma once
 
 #include "applehatch/core/listening-clock.h"
@@ -15,7 +15,7 @@
 using core::Duration;
 using core::Instant;
 
-/// A router that was heard.
+/// State of a router from which a digest was received.
 struct PeerRow
 {
     Address address;
@@ -24,64 +24,74 @@
     std::uint64_t revision = 0;
     bool leaving = false;
     Instant heardAt;
-    Instant listenedAt; ///< The same on the clock that stands still in hold-ups.
+    Instant listenedAt; ///< The same on `core::ListeningClock`, which stops during stalls.
 };
 
-/// Finds routers from seeds and from what routers tell of each other; no clock, no I/O.
+/// Gossip membership table: discovers routers from seeds and from the digests of other routers.
+/// Reads no clock and does no I/O.
 ///
-/// Seeds may be stale or down. Every router tells some addresses it knows, so one live seed, or one
-/// router that knows of this one, is enough. A digest goes to `fanout` routers at a time, in turn:
-/// to all at once, the fleet's traffic would grow with the square of its size. News of readers and
-/// of the registry's revision travel with every digest, so that all know of them after two or
-/// three.
+/// Seeds may be stale or down. Every router advertises some of the addresses it knows, so one live
+/// seed, or one router that knows this one, is enough for discovery. A digest goes to `fanout`
+/// routers at a time, in round-robin order: if it went to all of them, the fleet's traffic would
+/// grow with the square of its size. Reports of registry readers and of the registry revision are
+/// part of every digest, so all routers have them after two or three digests.
 ///
-/// Whether a router is gone is judged by the time in which this process listened: after a hold-up
-/// everybody's digests lie unread, and all others would be believed gone together.
+/// Silence is measured on a clock that stops while this process is stalled. After a stall the
+/// digests of all peers are still unread, and by any other clock all peers would seem dead at once.
 class PeerTable
 {
 public:
-    /// Routers that one digest goes to. Up to so many hear each other at every digest.
+    /// Number of routers to which one digest is sent. In a fleet of up to this many peers, each
+    /// router receives every digest.
     static constexpr std::size_t fanout = 10;
-    /// A digest names so many members: 6 bytes each; all are named within a few digests.
+    /// Maximum number of members advertised in a digest, at 6 bytes each; all members are
+    /// advertised within a few digests.
     static constexpr std::size_t mostMembers = 8;
-    /// A router not heard for this long, or for `aliveRounds` turns, is not asked for anything.
+    /// A router is considered dead, and nothing is requested from it, when no digest of it arrived
+    /// for this long and for `maxMissedRounds` rounds.
     static constexpr Duration aliveFor = std::chrono::milliseconds(1500);
-    /// Lost datagrams in a row: at one in twenty, three are lost once in 8,000.
+    /// Number of consecutive digests that may be lost: at a loss rate of one in twenty, three in a
+    /// row are lost once in 8,000.
     static constexpr int maxMissedRounds = 3;
-    /// A router not heard for this long, or for three times as long as one counts as alive, is not
-    /// told of any more.
+    /// A router is no longer contacted or advertised when no digest of it arrived for this long and
+    /// for three times the current alive timeout.
     static constexpr Duration memberLifetime = std::chrono::seconds(10);
-    /// The retry share counts routers heard within this time: one that is cut off still spends.
+    /// Routers heard within this time count towards sharing the retry budget: a router that is
+    /// partitioned from this one still spends its share.
     static constexpr Duration budgetShareLifetime = std::chrono::seconds(60);
 
-    /// A digest is sent each `period`; `life` rises with each process at this address.
+    /// A digest is sent every `digestInterval`. `incarnation` must increase with each process at
+    /// this address.
     PeerTable(Address self, Duration digestInterval, std::uint64_t incarnation);
 
-    /// A router's rank among those that may read the registry; it stays the same for its address.
+    /// Rank of a router among the candidates for reading the registry, derived from its address.
     [[nodiscard]] static auto rankOf(const Address &router) -> std::uint64_t;
 
     auto setSeeds(std::vector<Address> seeds) -> void { seeds_ = std::move(seeds); }
-    /// False for a digest that is older than the last one of its sender, or this router's own.
+    /// Applies a digest. Returns false for one that is outdated or sent by this router itself.
     auto apply(const PeerDigest &digest, Instant now) -> bool;
 
-    /// Whom the next digest goes to: routers and seeds in turn, at most `fanout`. Asked once each
-    /// period, after what had arrived was read: later calls tell from it whether this process was
-    /// held up.
+    /// Targets of the next digest: at most `fanout` known routers and seeds, in round-robin order.
+    /// Must be called once per digest interval, after all received datagrams were processed; later
+    /// calls use the time of this call to detect stalls of this process.
     [[nodiscard]] auto nextTargets(Instant now) -> std::vector<Address>;
-    /// As many, in a turn of their own: whom a brief digest goes to that is not for all.
+    /// Targets of a brief digest that is not sent to all routers; like `nextTargets`, with a
+    /// round-robin position of its own.
     [[nodiscard]] auto nextTold(Instant now) -> std::vector<Address>;
-    /// All known routers and the seeds.
+    /// All known routers and the seeds, without this router.
     [[nodiscard]] auto targets(Instant now) const -> std::vector<Address>;
-    /// Some known routers, in turn.
+    /// Routers to advertise in the next digest, in round-robin order.
     [[nodiscard]] auto nextMembers(Instant now) -> std::vector<Address>;
+    /// Routers heard within the current alive timeout.
     [[nodiscard]] auto alive(Instant now) const -> std::vector<PeerRow>;
     [[nodiscard]] auto readerBook() -> direct::ReaderBook & { return readerTracker_; }
     [[nodiscard]] auto readerBook() const -> const direct::ReaderBook & { return readerTracker_; }
-    /// Routers that share the retry budget, this one included; at least the number of seeds.
+    /// Number of routers that share the retry budget, including this one; at least the number of
+    /// seeds.
     [[nodiscard]] auto routers(Instant now) const -> std::size_t;
-    /// The time after which every known router has had a digest.
+    /// Time in which every known router is sent a digest once.
     [[nodiscard]] auto round(Instant now) const -> Duration;
-    /// How long a router is believed without a further word.
+    /// How long a router counts as alive after its last digest, given the size of the fleet.
     [[nodiscard]] auto believedFor(Instant now) const -> Duration;
 
 private:
@@ -93,16 +103,16 @@
 
     auto applyReaders(const PeerDigest &digest, Instant now) -> void;
     [[nodiscard]] auto members(Instant now) const -> std::vector<Address>;
-    /// Whether the router was heard within `limit`, less this process's hold-ups.
+    /// Whether the router was heard within `limit`, not counting stalls of this process.
     [[nodiscard]] auto wasHeardWithin(const PeerRow &row, Duration limit, Instant now) const
         -> bool;
 
     Address self_;
     Duration digestInterval_;
     std::vector<Address> seeds_;
-    mutable core::ListeningClock listening_; ///< Its first reading starts it.
+    mutable core::ListeningClock listening_; ///< Started by its first reading.
     std::map<std::string, PeerRow> peers_;
-    std::map<std::string, AdvertisedPeer> advertised_; // Named by others, not heard yet.
+    std::map<std::string, AdvertisedPeer> advertised_; // Advertised by others, not heard yet.
     direct::ReaderBook readerTracker_;
     std::size_t targetOffset_;
     std::size_t briefTargetOffset_;
--- a/include/applehatch/gateway/timer.h
+++ b/include/applehatch/gateway/timer.h
@@ -14,12 +14,12 @@
 
 using core::Duration;
 
-/// Runs an action once after a time, unless stopped or started anew before.
+/// Runs an action once after a delay unless stopped or restarted before.
 ///
-/// A loop that was held up for longer than the time finds the timer due together with the bytes
-/// that would have stopped it. The library then runs both: its cancelling has no effect on a
-/// handler that is already queued. A caller whose request had just been read was cut by the idle
-/// timer of its connection. Here an action that was stopped never runs.
+/// When the event loop stalls for longer than the delay, the timer expires together with the
+/// arrival of the bytes that would have stopped it. Asio then runs both handlers, because
+/// cancelling has no effect on a handler that is already queued, and the idle timer of a connection
+/// could close it right after a request was read. With this class a stopped action never runs.
 class Timer
 {
 public:
@@ -33,8 +33,8 @@
 
 private:
     boost::asio::steady_timer timer_;
-    std::shared_ptr<std::uint64_t>
-        generation_; // Counts starts and stops; handlers may outlive the timer.
+    // Incremented by each start and stop; shared since handlers may outlive the timer.
+    std::shared_ptr<std::uint64_t> generation_;
 };
 
 } // namespace applehatch::gateway
--- a/include/applehatch/gateway/upstream-connection.h
+++ b/include/applehatch/gateway/upstream-connection.h
@@ -1,4 +1,4 @@
-/// A connection to an upstream: one request at a time, its answer as it comes.
+/// Client side of a connection to an upstream: one request at a time, with a streamed answer.
 #pragma once
 
 #include "applehatch/direct/directory.h"
@@ -15,23 +15,23 @@
 
 namespace applehatch::gateway {
 
-/// What becomes of one request on a connection. `failed` or `done` ends it, exactly once.
+/// Callbacks for one request. Unless it is aborted, exactly one of `done` and `failed` ends it.
 struct AnswerHooks
 {
     std::function<void(ResponseHead &)> head;
     std::function<void(std::string_view)> body;
     std::function<void()> done;
-    /// The connection broke, or what came is no answer. The request may have run.
+    /// The connection failed or the response was invalid. The request may have run.
     std::function<void(std::string)> failed;
 };
 
-/// A request ready to be sent.
+/// A serialized request.
 struct WireRequest
 {
     std::string text;
-    std::string idHeader; ///< Responses echo this header; empty: not checked.
+    std::string idHeader; ///< Header that responses echo; empty to skip the check.
     std::string id;
-    bool isHead = false;
+    bool isHead = false; ///< The request is a `HEAD`, whose response has no body.
 };
 
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection>
@@ -40,15 +40,15 @@
     explicit UpstreamConnection(Channel::Socket socket);
 
     auto start(ChannelLimits limits) -> void;
-    /// Sends on an idle connection.
+    /// Sends a request. The connection must be idle.
     auto send(WireRequest request, AnswerHooks hooks) -> void;
     auto setPaused(bool paused) -> void { channel_->setPaused(paused); }
-    /// Drops what is under way without a further hook; the upstream sees the connection reset.
+    /// Resets the connection. No further callback of the current request is called.
     auto abort() -> void;
     [[nodiscard]] auto isOpen() const -> bool { return channel_->isOpen(); }
-    /// Whether the next request may use it.
+    /// Whether the connection can be used for another request.
     [[nodiscard]] auto isReusable() const -> bool;
-    /// How long the upstream said that it keeps an idle connection; none when it did not say.
+    /// Timeout from the upstream's `Keep-Alive` header; none if the header was absent or invalid.
     [[nodiscard]] auto keepAliveTimeout() const -> std::optional<Duration>
     {
         return keepAliveTimeout_;
@@ -69,7 +69,7 @@
     std::optional<ResponseReader> reader_;
     std::optional<Duration> keepAliveTimeout_;
     bool busy_ = false;
-    bool isStaleAnswer_ = false; // The answer being read belongs to an earlier request.
+    bool isStaleAnswer_ = false; // The current response belongs to an earlier request.
     bool informational_ = false;
     bool keepAlive_ = true;
     int skippedAnswers_ = 0;
--- a/include/applehatch/gateway/upstream-pool.h
+++ b/include/applehatch/gateway/upstream-pool.h
@@ -1,4 +1,4 @@
-/// Kept connections to upstreams.
+/// Pool of idle connections to upstreams.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -18,22 +18,23 @@
 using core::Instant;
 using UpstreamConnectionPtr = std::shared_ptr<UpstreamConnection>;
 
-/// Gives a connection to an address: a kept one, else a new one.
+/// Provides connections to upstreams, reusing idle ones.
 class UpstreamPool
 {
 public:
-    /// A host that takes no connection within this is down or out of reach; a live one takes it
-    /// within a few milliseconds, one lost packet costs a second on top of that.
+    /// A host that does not accept a connection within this time is down or unreachable. A live one
+    /// accepts it within a few milliseconds; one lost packet adds a second.
     static constexpr Duration connectTimeout = std::chrono::milliseconds(700);
-    /// Four lost packets in a row; a request on a connection that went silent is told so then.
+    /// Corresponds to four lost packets in a row. A request on a connection that went silent fails
+    /// after this time.
     static constexpr Duration unacknowledgedTimeout = std::chrono::milliseconds(1500);
-    /// Share of the time told in `Keep-Alive` for which a connection is used again: a request that
-    /// crosses the upstream's close may or may not have run.
+    /// Fraction of the upstream's `Keep-Alive` timeout during which an idle connection is reused:
+    /// if a request crosses the upstream's close, it is unknown whether it ran.
     static constexpr double keepAliveShare = 0.7;
-    /// Where the upstream tells no time.
+    /// Used if the upstream sends no `Keep-Alive` timeout.
     static constexpr Duration defaultKeepAlive = std::chrono::seconds(4);
 
-    /// Gets the connection, or null when none could be opened.
+    /// Receives the connection, or null if none could be opened.
     using AcquireCallback = std::function<void(UpstreamConnectionPtr, bool isNew)>;
 
     explicit UpstreamPool(boost::asio::io_context &loop);
@@ -41,13 +42,16 @@
     UpstreamPool(const UpstreamPool &) = delete;
     auto operator=(const UpstreamPool &) -> UpstreamPool & = delete;
 
+    /// Passes a connection to `callback`: an idle one at once, otherwise a newly opened one.
     auto acquire(const Address &address, const AcquireCallback &callback) -> void;
-    /// Takes a connection back whose answer is whole.
+    /// Returns a connection to the pool after its answer is complete; aborts it if not reusable.
     auto release(const Address &address, const UpstreamConnectionPtr &connection) -> void;
-    /// Closes the kept connections to an address, when it was found silent or gone.
+    /// Closes all idle connections to an address that was found silent or gone.
     auto drop(const Address &address) -> void;
+    /// Closes idle connections that have expired or are no longer usable.
     auto expire(Instant now) -> void;
 
+    /// Number of connection attempts since the start.
     [[nodiscard]] auto opened() const -> std::uint64_t { return opened_; }
 
 private:
@@ -61,7 +65,7 @@
     auto open(const Address &address, const AcquireCallback &callback) -> void;
 
     boost::asio::io_context &loop_;
-    std::map<std::string, std::vector<IdleConnection>> idle_; // The one used last comes last.
+    std::map<std::string, std::vector<IdleConnection>> idle_; // Most recently used last.
     std::uint64_t opened_ = 0;
 };
 
--- a/include/applehatch/gateway/vocabulary.h
+++ b/include/applehatch/gateway/vocabulary.h
@@ -1,4 +1,4 @@
-/// The names that a deployment's callers and upstreams use in their headers.
+/// Header names and value formats used by a deployment's callers and upstreams.
 #pragma once
 
 #include "applehatch/direct/prompt.h"
@@ -12,37 +12,37 @@
 
 namespace applehatch::gateway {
 
-/// What an upstream says of its load.
+/// Load reported by an upstream: numbers of requests.
 struct LoadReport
 {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
 };
 
-/// Header names, and readers of those values that have a format of their own.
+/// Header names, and parsers for values with a deployment-specific format.
 struct Vocabulary
 {
-    std::string requestId;      ///< Names one request of a caller; echoed by upstreams.
-    std::string deadline;       ///< Milliseconds that the caller, or the upstream, has left.
-    std::string proof;          ///< Set by upstreams on what they ran.
-    std::string notRun;         ///< Set by upstreams on what they did not run.
-    std::string expectInstance; ///< The upstream refuses what names another instance.
-    std::string customer;       ///< Tells the upstream whose request it is.
-    std::string priority;       ///< 0 is the most urgent.
-    std::string loadReport;
-    std::string prompt;      ///< The parts of a prompt, in order.
-    std::string tokens;      ///< Tokens of the prompt and, at most, of the answer.
-    std::string fetchFrom;   ///< Names an engine to fetch the prompt's context from.
-    std::string lastEventId; ///< Where a resumed stream goes on.
-    std::string keyScheme;   ///< Before the key in `Authorization`.
-    /// Only routers may set these; dropped when a caller sends them.
+    std::string requestId;      ///< Identifies a caller's request; echoed by upstreams.
+    std::string deadline;       ///< Milliseconds left for the request, from caller or to upstream.
+    std::string proof;          ///< Set by upstreams on responses to requests that ran.
+    std::string notRun;         ///< Set by upstreams on responses to requests that did not run.
+    std::string expectInstance; ///< An upstream refuses requests that name another instance.
+    std::string customer;       ///< Identifies the customer to the upstream.
+    std::string priority;       ///< 0 is the highest priority.
+    std::string loadReport;     ///< Load of the upstream, set on its responses.
+    std::string prompt;         ///< Parts of the prompt, in order.
+    std::string tokens;         ///< Tokens of the prompt and maximum tokens of the answer.
+    std::string fetchFrom;      ///< Engine from which to fetch the prompt's context.
+    std::string lastEventId;    ///< Id of the event after which a stream resumes.
+    std::string keyScheme;      ///< Scheme before the key in `Authorization`.
+    /// Headers that only routers may set; removed from callers' requests.
     std::vector<std::string> routerOnly;
-    /// Decide how a request runs; never dropped, whatever `Connection` names.
+    /// Headers that decide how a request runs; never removed, even if listed in `Connection`.
     std::vector<std::string> kept;
 
     std::function<direct::Prompt(std::string_view)> readPrompt;
     std::function<std::optional<LoadReport>(std::string_view)> readLoad;
-    /// The most tokens that an answer has; 0 when that is not told.
+    /// Parses the maximum number of tokens of the answer; 0 if unknown.
     std::function<std::uint32_t(std::string_view)> readMostTokens;
 };
 
--- a/src/gateway/caller-connection.cc
+++ b/src/gateway/caller-connection.cc
@@ -10,15 +10,15 @@
 
 namespace {
 
-// Reading stops when a caller sends this much before its answer is whole.
+// Reading stops when a caller sends more than this before its answer is complete.
 constexpr std::size_t maxPendingBytes = 65536;
-// An upstream is slowed down when a caller has this much to read; about 300 events.
+// Reading from the upstream pauses when more than this is unsent to the caller; about 300 events.
 constexpr std::size_t congestionThreshold = 65536;
-// A kept connection is closed this much after the limit told to callers, so that a request sent at
-// the last moment is not cut.
+// An idle connection is closed this long after the limit announced to callers, so that a request
+// sent just before the limit is not lost.
 constexpr Duration idleGrace = std::chrono::seconds(2);
-// A connection this young was opened to send a request that is on its way; closed, its caller would
-// have to connect anew.
+// A connection younger than this was opened for a request that is still under way; closing it would
+// force the caller to reconnect.
 constexpr Duration newConnectionTime = std::chrono::seconds(1);
 constexpr int badRequest = 400;
 constexpr int requestTimeout = 408;
@@ -91,7 +91,7 @@
         return takeRequest();
     if (!reader_->headRead())
         return;
-    // Each part of a body is awaited for the time that a connection may stay idle.
+    // The idle timeout applies to each part of a body.
     timer_.start(limits.idleTimeout, [self = shared_from_this()] { self->refuse(requestTimeout); });
     if (!headBefore && reader_->expectsContinue())
         channel_->write("HTTP/1.1 100 Continue\r\n\r\n");
@@ -190,7 +190,7 @@
     if (closeAfterAnswer_) {
         state_ = State::Ended;
         channel_->close();
-        // A peer that never closes its end would keep the socket for good.
+        // A peer that never closes its end would keep the socket open for ever.
         timer_.start(idleGrace, [channel = channel_] { channel->abort(); });
         return;
     }
@@ -199,7 +199,7 @@
     awaitRequest();
     if (input_.empty())
         return;
-    // Not at once: the hook that answered may still be on the stack.
+    // Posted, since the callback that sent the answer may still be on the stack.
     boost::asio::post(channel_->executor(), [self = shared_from_this()] {
         if (self->state_ == State::Reading)
             self->read();
--- a/src/gateway/channel.cc
+++ b/src/gateway/channel.cc
@@ -17,13 +17,13 @@
 
 namespace {
 
-// One read takes at most this; a stream's event is a few hundred bytes.
+// Maximum bytes per read; an event of a stream is a few hundred bytes.
 constexpr std::size_t maxReadBytes = 32768;
 constexpr int maxMissedProbes = 2;
 
 auto setOption(int fd, int level, int name, int value) -> void
 {
-    // A socket that refuses an option still works; it is only given up later.
+    // Without the option the socket still works, but a dead connection is detected later.
     static_cast<void>(setsockopt(fd, level, name, &value, sizeof(value)));
 }
 
@@ -86,7 +86,7 @@
     if (error)
         return fail(error == asio::error::eof ? error_code() : error);
     if (state_ == State::Closing)
-        return waitReadable(); // What comes after the last answer is dropped.
+        return waitReadable(); // Bytes received while closing are discarded.
     in_.append(buffer.data(), count);
     hooks_.data(in_);
     waitReadable();
@@ -153,8 +153,8 @@
     paused_ = false;
     if (!writing_)
         flush();
-    // Reading goes on until the peer closes: closing with unread bytes would reset the connection,
-    // and the peer could lose the answer that it has not read yet.
+    // Keep reading until the peer closes: closing the socket with unread bytes would reset the
+    // connection, and the peer could lose an answer that it has not read yet.
     waitReadable();
 }
 
@@ -187,7 +187,8 @@
 
 auto Channel::dropHooks() -> void
 {
-    // One of them may be running, and they hold this channel's owner: they end after it.
+    // Destroyed later, since one of the hooks may be running and they keep this channel's owner
+    // alive.
     asio::post(socket_.get_executor(), [hooks = std::exchange(hooks_, Hooks())] {});
 }
 
--- a/src/gateway/event-cutter.cc
+++ b/src/gateway/event-cutter.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The end of the event at the front of `text`; npos while it is not whole.
+// End of the first event in `text`; npos if the event is incomplete.
 auto eventEnd(std::string_view text) -> std::size_t
 {
     constexpr std::string_view plain = "\n\n";
--- a/src/gateway/exchange-answer.cc
+++ b/src/gateway/exchange-answer.cc
@@ -1,4 +1,4 @@
-// What an upstream answers, on its way to the caller.
+// Handling of an upstream's answer.
 #include "applehatch/gateway/exchange.h"
 
 #include "onward.h"
@@ -58,7 +58,7 @@
     const auto whole = events_.feed(bytes);
     if (!events_.isInOrder()) {
         attempt_.connection->abort();
-        return onFailed("events out of order");
+        return onFailed("event ids are not increasing");
     }
     if (whole.empty())
         return;
@@ -87,9 +87,9 @@
 auto Exchange::finishRelay() -> void
 {
     if (!events_.partial().empty()) {
-        // A stream that ends inside an event was cut, however orderly its end looks.
+        // A stream that ends inside an event is truncated, even if the connection ended in order.
         attempt_.connection->abort();
-        return onFailed("ended inside an event");
+        return onFailed("stream ended in the middle of an event");
     }
     attempt_.served = true;
     noteOutcome(Outcome::Served);
@@ -110,14 +110,16 @@
     if (attempt_.notRun) {
         noteOutcome(Outcome::Refused);
         closeAttempt(true);
-        return retryOrAnswer({ErrorKind::Overloaded, Run::NotRun, "upstream refused", {}});
+        return retryOrAnswer(
+            {ErrorKind::Overloaded, Run::NotRun, "upstream refused the request", {}});
     }
-    // An upstream that breaks the protocol must not make this router promise what it cannot know.
+    // A status that implies "not run" came without the upstream's "not run" header: an upstream
+    // that violates the protocol must not make this router promise what it cannot know.
     const auto unusable = (isSuccess(head.status) && !hasProof) || impliesNotRun(head.status);
     if (unusable || phase_ == Phase::Relaying) {
         noteOutcome(Outcome::Failed);
         closeAttempt(true);
-        return retryOrAnswer({ErrorKind::UpstreamFailed, Run::Unknown, "no usable answer", {}});
+        return retryOrAnswer({ErrorKind::UpstreamFailed, Run::Unknown, "unusable answer", {}});
     }
     const auto failed = head.status >= firstServerError;
     attempt_.served = !failed;
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -27,7 +27,7 @@
     double value = 0;
     const auto *end = text->data() + text->size();
     const auto [at, error] = std::from_chars(text->data(), end, value);
-    constexpr double maxMilliseconds = 1e9; // 12 days; anything longer is no deadline.
+    constexpr double maxMilliseconds = 1e9; // 12 days; a longer value is ignored.
     if (error != std::errc() || at != end || value < 0 || value > maxMilliseconds)
         return std::nullopt;
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(value));
@@ -45,7 +45,7 @@
 
 auto statusOf(const Failure &failure) -> int
 {
-    // Callers of direct upstreams know 503 as "not run, may come back", and nothing more.
+    // Callers of direct upstreams understand only 503, as "not run, may retry".
     if (failure.kind == ErrorKind::CrashSuspect)
         return unavailable;
     return core::answerFor(failure.kind).status;
@@ -156,7 +156,7 @@
     if (!mayTry || !environment_.dispatcher->hasOther(permit_, demand_, telemetry::steadyNow()))
         return false;
     if (!environment_.dispatcher->takeRetry(permit_, telemetry::steadyNow())) {
-        environment_.note(id_, "retry-denied", "budget spent: " + why);
+        environment_.note(id_, "retry-denied", "retry budget exhausted: " + why);
         return false;
     }
     environment_.note(id_, "retried", attempt_.choice.upstream.instance + ": " + why);
@@ -169,7 +169,7 @@
 {
     if (phase_ == Phase::Relaying)
         return finish("broken-off", refusal_.detail);
-    // "Not run" is told only when it is certain.
+    // The caller is told "not run" only if that is certain.
     if (mayHaveRun_)
         return answerFailure({ErrorKind::UpstreamFailed, Run::Unknown, refusal_.detail, {}});
     answerFailure(refusal_);
@@ -187,7 +187,7 @@
         return sendRequest();
     }
     if (connection) {
-        // Opening it took so long that the upstream has left meanwhile. Nothing was sent yet.
+        // The upstream was removed while the connection was being opened. Nothing was sent yet.
         environment_.pool->release(attempt_.choice.upstream.address, connection);
         environment_.note(id_, "upstream-left", attempt_.choice.upstream.instance);
         if (!startAttempt())
@@ -201,7 +201,7 @@
     if (connectFailures_ < maxConnectFailures && startAttempt())
         return;
     const auto wait = environment_.dispatcher->retryAfter();
-    refusal_ = {ErrorKind::NoUpstream, Run::NotRun, "no upstream reached", wait};
+    refusal_ = {ErrorKind::NoUpstream, Run::NotRun, "could not connect to any upstream", wait};
     answerAfterLastAttempt();
 }
 
@@ -240,8 +240,9 @@
     runSilenceTimer((wait - finalSilenceStep) / silenceSteps, silenceSteps);
 }
 
-// A hold-up of this process counts as one step at the most: the upstream's bytes lie unread then,
-// and of many sockets not all are read before the timers that are due.
+// Splitting the timeout makes a stall of this process count as one step at most: after a stall the
+// upstream's bytes are still unread, and with many sockets not all are read before expired timers
+// run.
 auto Exchange::runSilenceTimer(Duration step, int remainingSteps) -> void
 {
     silenceTimer_.start(step, [self = shared_from_this(), step, remainingSteps] {
@@ -285,7 +286,7 @@
     const auto canMove = sent_ < permit_.route->attempts
         && environment_.dispatcher->hasOther(permit_, demand_, telemetry::steadyNow());
     if (!canMove || !environment_.dispatcher->takeRetry(permit_, telemetry::steadyNow()))
-        return; // It may still answer.
+        return; // The upstream may still answer.
     noteOutcome(Outcome::Failed);
     environment_.note(id_, "upstream-silent", attempt_.choice.upstream.instance);
     closeAttempt(false);
@@ -339,7 +340,7 @@
         && telemetry::steadyNow() - attempt_.sentAt > std::chrono::seconds(1);
     if (isSilent)
         noteOutcome(Outcome::Failed);
-    // The upstream stops working for nobody as soon as its connection closes.
+    // Closing the connection makes the upstream abandon the request.
     closeAttempt(false);
     finish("caller-left", "connection closed by the caller");
 }
@@ -353,9 +354,9 @@
     mayHaveRun_ = mayHaveRun_ || attempt_.sent;
     closeAttempt(false);
     if (phase_ == Phase::Relaying)
-        return finish("broken-off", "time is up");
+        return finish("broken-off", "deadline exceeded");
     const auto run = mayHaveRun_ ? Run::Unknown : Run::NotRun;
-    answerFailure({ErrorKind::DeadlineExceeded, run, "time is up", std::nullopt});
+    answerFailure({ErrorKind::DeadlineExceeded, run, "deadline exceeded", std::nullopt});
 }
 
 auto Exchange::answerFailure(const Failure &failure) -> void
--- a/src/gateway/gateway-host.cc
+++ b/src/gateway/gateway-host.cc
@@ -21,20 +21,22 @@
 namespace {
 
 constexpr Duration tickInterval = std::chrono::milliseconds(100);
-// A stopping process takes new streams for this long: the balancer asks each second and takes a
-// process out after two misses, so callers keep coming for up to three seconds.
+// A stopping process accepts new streams for this long: the balancer checks readiness each second
+// and removes a process after two failed checks, so requests keep arriving for up to three seconds.
 constexpr Duration streamAcceptTime = std::chrono::milliseconds(2500);
-// Idle connections are closed then; before it, a caller's request could cross the close.
+// Delay until idle connections are closed; earlier, a caller's request could cross the close.
 constexpr Duration idleCloseDelay = std::chrono::milliseconds(2500);
-// It may end from then on, when nothing is under way.
+// Minimum time from the stop request to the exit; after it the process exits once no request is in
+// flight.
 constexpr Duration minStopTime = std::chrono::milliseconds(3300);
-// Left before the platform would kill the process.
+// The process exits this long before the platform would kill it.
 constexpr Duration killMargin = std::chrono::milliseconds(350);
-// A process that starts again has callers at once, and a configuration some 30 ms later. Requests
-// wait that long rather than be refused; beyond it the registry is away, and they are told so.
+// A restarted process receives requests at once, and its configuration some 30 ms later. Requests
+// wait for it rather than being refused; after this time the registry is considered unreachable and
+// they are refused.
 constexpr Duration maxConfigurationWait = std::chrono::milliseconds(250);
-// The loop did nothing else for this long: every caller waited. Told in the log, since late answers
-// then have no other cause in it.
+// A tick this late means that the event loop was stalled and every caller waited. It is logged,
+// since nothing else in the log would explain the late answers.
 constexpr Duration stallThreshold = std::chrono::milliseconds(200);
 constexpr int ok = 200;
 constexpr int notFound = 404;
@@ -142,7 +144,7 @@
     if (error)
         return error;
     if (settings_.metrics.port != 0) {
-        // Requests are served without metrics too; the failure is logged.
+        // Metrics are optional: requests are served without them, and the failure is logged.
         static_cast<void>(
             listen(settings_.metrics, [this](const CallerPtr &caller, const RequestMessage &) {
                 answerMetrics(caller);
@@ -264,7 +266,7 @@
         return;
     digest.loads = dispatcher_.loads().ownLoads();
     digest.crashes = dispatcher_.suspects().ownCounts(now);
-    // Each peer hears of a use once a round.
+    // A peer receives a digest only once per round, so the uses of a whole round are included.
     digest.contexts =
         dispatcher_.contexts().recentUses(now, mesh_.table().round(now) + PeerMesh::digestInterval);
 }
@@ -280,8 +282,9 @@
     dispatcher_.contexts().expire(now);
     dispatcher_.setRouters(mesh_.table().routers(now));
     pool_.expire(now);
-    // What others said meanwhile lies unread: whether this router must read waits for the next
-    // tick. That it need not is decided at once, as reading may be what holds it up.
+    // After a stall the peers' digests are still unread, so becoming a reader is decided at the
+    // next tick. Ceasing to be a reader is decided at once, as reading may be the cause of the
+    // stall.
     if (!wasStalled || readers_.reads())
         updateReaderRole(now);
     catchUp(now);
@@ -319,8 +322,9 @@
     const auto now = steadyNow();
     if (!stopRequestedAt_ || now - *stopRequestedAt_ < streamAcceptTime)
         return std::nullopt;
-    // When all routers are stopped in turn faster than they come back, the balancer sends callers
-    // to routers that stop. Those then take what they can still finish; otherwise they end sooner.
+    // When routers are stopped one after another faster than they return, the balancer sends
+    // callers to stopping routers. These then accept streams that they can still finish; while
+    // another router is ready they accept none, so as to exit sooner.
     if (hasReadyPeer(now))
         return Duration(0);
     return *stopRequestedAt_ + settings_.stopWithin - killMargin - now;
--- a/src/gateway/gateway-log.h
+++ b/src/gateway/gateway-log.h
@@ -1,4 +1,4 @@
-/// Log lines of the gateway's process.
+/// Logging helper of the gateway process.
 #pragma once
 
 #include "applehatch/core/log-line.h"
--- a/src/gateway/gateway-metrics.cc
+++ b/src/gateway/gateway-metrics.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Seconds; from a plain answer within a data centre to the longest stream.
+// Buckets in seconds, from a plain answer within a data centre to the longest stream.
 auto secondsBuckets() -> const std::vector<double> &
 {
     static const std::vector<double> buckets{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4,
@@ -14,7 +14,7 @@
     return buckets;
 }
 
-// Seconds; a loop that keeps up is late by less than a millisecond.
+// Buckets in seconds; an event loop that keeps up is late by less than a millisecond.
 auto loopDelayBuckets() -> const std::vector<double> &
 {
     static const std::vector<double> buckets{0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2};
--- a/src/gateway/gateway-registry.cc
+++ b/src/gateway/gateway-registry.cc
@@ -1,4 +1,4 @@
-// What the gateway's process does with the registry and its peers' news of it.
+// Registry handling of the gateway process: own reads, deltas from peers and the reader role.
 #include "applehatch/gateway/gateway-host.h"
 
 #include "gateway-log.h"
@@ -16,7 +16,7 @@
 
 namespace {
 
-// The registry's own watch usually brings a change sooner than this; then a peer is asked.
+// A reader's own watch usually delivers a change sooner than this; after it a peer is asked.
 constexpr Duration catchUpDelay = std::chrono::milliseconds(250);
 
 } // namespace
@@ -57,7 +57,8 @@
 {
     registryRegained();
     mesh_.readerBook().beat(steadyNow());
-    // When nobody was heard to read, all are told: else the next in rank would read as well.
+    // If no reader was known, all peers are notified; otherwise the next router in rank would start
+    // reading as well.
     if (std::exchange(reportNextAnswer_, false))
         mesh_.advertiseToAll();
     else
@@ -173,7 +174,7 @@
         return;
     noteReaderRole(reads, heard.reading.size(), now);
     reportNextAnswer_ = reads && heard.reading.empty();
-    // What the readers tell counts like the registry's own word.
+    // Reports of the readers count as much as answers of the registry itself.
     if (!reads)
         registryRegained();
     if (readerRoleHook_)
@@ -183,7 +184,7 @@
 auto GatewayHost::noteRegistrySilence(Instant now) -> void
 {
     const auto limit = direct::RegistryReaders::quietFor(settings_.changeWithin);
-    // One that reads itself knows by its own calls.
+    // A reader notices a silent registry by its own requests.
     if (readers_.reads() || !mesh_.readerBook().setAsideWhenQuiet(limit, now))
         return;
     metrics_.noteEvent("registry-quiet");
@@ -210,9 +211,9 @@
 auto GatewayHost::onPeerDelta(const direct::RegistryNews &news) -> void
 {
     const auto before = replica_.revision();
-    // A peer that was killed may have lost what it told of. It is asked again with the next tick:
-    // at once, two routers would ask each other hundreds of times while the whole fleet starts
-    // again.
+    // A killed and restarted peer may have lost the revision that it advertised. It is asked again
+    // at the next tick: if retried at once, two routers would ask each other hundreds of times
+    // while the whole fleet restarts.
     if (!replica_.apply(news, steadyNow()))
         return;
     metrics_.noteEvent("registry-from-peer");
--- a/src/gateway/http-message.cc
+++ b/src/gateway/http-message.cc
@@ -70,7 +70,7 @@
     }
 }
 
-// Gives the parser what it can take from the front of `bytes`, piece after piece.
+// Feeds the parser from the front of `bytes` until it is done, fails or needs more bytes.
 template <typename Parser>
 auto feedAll(Parser &parser, std::string &bytes, boost::beast::error_code &error) -> ReadState
 {
@@ -260,7 +260,7 @@
 {
     Base::eager(true);
     Base::skip(isHead);
-    // Not `none`: this version of the library takes every length for larger than that.
+    // Not `none`: this version of Boost.Beast treats every length as larger than that.
     Base::body_limit(std::numeric_limits<std::uint64_t>::max());
 }
 
--- a/src/gateway/listener.cc
+++ b/src/gateway/listener.cc
@@ -11,9 +11,9 @@
 
 namespace {
 
-// Channels that may wait to be accepted; a burst of callers beyond it waits for seconds.
+// Connections that may wait to be accepted; callers of a larger burst wait for seconds.
 constexpr int backlog = 1024;
-// After a failure to accept, such as no free descriptor, before the next try.
+// Delay after a failed accept, for example when no file descriptor is free.
 constexpr Duration pauseAfterFailure = std::chrono::milliseconds(20);
 
 } // namespace
--- a/src/gateway/onward.h
+++ b/src/gateway/onward.h
@@ -1,4 +1,4 @@
-/// What of a message goes on to the next hop.
+/// Headers of forwarded messages.
 #pragma once
 
 #include "applehatch/gateway/http-message.h"
@@ -8,11 +8,12 @@
 
 namespace applehatch::gateway {
 
-/// All headers but those named in `dropped`, in any case of letters.
+/// All headers except those in `dropped`; names are compared case-insensitively.
 [[nodiscard]] auto headersWithout(const HeaderList &headers,
                                   const std::vector<std::string> &dropped) -> HeaderList;
 
-/// Status and headers of an upstream's answer as its caller gets them; the framing is the caller's.
+/// Status and headers of an upstream's answer without its hop-by-hop and framing headers, which are
+/// set for the caller's connection.
 [[nodiscard]] auto forwardedHead(const ResponseHead &head) -> ResponseHead;
 
 } // namespace applehatch::gateway
--- a/src/gateway/peer-digest.cc
+++ b/src/gateway/peer-digest.cc
@@ -17,8 +17,8 @@
 
 namespace {
 
-// All entries of a registry hold values of up to a megabyte each; the reader stops far beyond any
-// real one.
+// Limit on the size of a decoded message. Registry values are up to a megabyte each; the limit is
+// far beyond the size of any real registry.
 constexpr std::uint64_t maxMessageBytes = std::uint64_t{64} * 1024 * 1024;
 constexpr std::uint64_t maxMessageWords = maxMessageBytes / sizeof(capnp::word);
 
@@ -29,7 +29,7 @@
     return {reinterpret_cast<const char *>(bytes.begin()), bytes.size()};
 }
 
-// Half the size of the plain form for a digest, whose counts and ages are small numbers.
+// Packing halves the size of a digest, since its counts and ages are small numbers.
 auto packedBytesOf(capnp::MallocMessageBuilder &message) -> std::string
 {
     kj::VectorOutputStream stream;
@@ -38,11 +38,11 @@
     return {reinterpret_cast<const char *>(bytes.begin()), bytes.size()};
 }
 
-// News begin with their length before compression, lowest byte first.
+// A delta starts with its uncompressed length in little-endian byte order.
 constexpr std::size_t lengthBytes = 8;
 
-// A configuration of 1,000 routes is 240 KB of text, and a router with a link of 10 Mbit/s gives it
-// to nine others: 1.7 s as it is, 0.2 s compressed, when it must be in force everywhere within two.
+// A configuration of 1,000 routes is 240 KB of text. Sending it to nine peers over a 10 Mbit/s link
+// takes 1.7 s uncompressed and 0.2 s compressed, and it must be in force everywhere within 2 s.
 auto compressed(std::string_view plain) -> std::string
 {
     auto size = compressBound(plain.size());
@@ -52,7 +52,8 @@
     const auto status =
         compress2(reinterpret_cast<Bytef *>(out.data() + lengthBytes), &size,
                   reinterpret_cast<const Bytef *>(plain.data()), plain.size(), Z_BEST_SPEED);
-    out.resize(lengthBytes + (status == Z_OK ? size : 0)); // Empty news are unreadable to the peer.
+    // On failure nothing follows the length, and the peer rejects the delta.
+    out.resize(lengthBytes + (status == Z_OK ? size : 0));
     return out;
 }
 
@@ -75,7 +76,7 @@
     return plain;
 }
 
-// The reader wants aligned words; bytes from a socket may lie anywhere.
+// Copies the bytes, since Cap'n Proto requires aligned words.
 auto wordsOf(std::string_view bytes) -> kj::Array<capnp::word>
 {
     auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
@@ -145,7 +146,7 @@
     return news;
 }
 
-// Rounded up, so that passing an age on never makes it younger.
+// Rounded up, so that an age never decreases when it is passed on.
 auto ageMs(core::Duration age) -> std::uint32_t
 {
     const auto count = std::chrono::ceil<std::chrono::milliseconds>(age).count();
--- a/src/gateway/peer-mesh.cc
+++ b/src/gateway/peer-mesh.cc
@@ -100,7 +100,7 @@
         digest.members = table_.nextMembers(now);
     const auto bytes = encodeDigest(digest);
     for (const auto &target : targets) {
-        error_code error; // A datagram that cannot be sent is made up for by the next one.
+        error_code error; // Ignored: the next digest replaces a lost one.
         socket_.send_to(asio::buffer(bytes), endpointOf(target), 0, error);
     }
 }
@@ -181,7 +181,7 @@
         if (connection)
             return request(*peer, revision, connection);
         finishFetch();
-        hooks_.note("peer-fetch-failed", keyOf(*peer) + " no connection");
+        hooks_.note("peer-fetch-failed", keyOf(*peer) + " could not connect");
     });
 }
 
@@ -211,7 +211,7 @@
             pool_.release(peer, whole);
         if (const auto news = decodeNews(*body))
             return hooks_.deltaReceived(*news);
-        hooks_.note("peer-fetch-failed", keyOf(peer) + " unreadable answer");
+        hooks_.note("peer-fetch-failed", keyOf(peer) + " invalid response");
     };
     WireRequest wire;
     wire.text = "GET " + std::string(deltaPath) + std::to_string(revision)
--- a/src/gateway/peer-table.cc
+++ b/src/gateway/peer-table.cc
@@ -12,8 +12,9 @@
     return address.ip + ':' + std::to_string(address.port);
 }
 
-// The next `count` of `all` after those taken before; all of them when there are no more. The turn
-// goes on rising, so that a list that has changed its length does not bring turns together.
+// Returns the next `count` addresses in round-robin order, or all if there are no more. The offset
+// is not reduced modulo the list's length, so that routers whose lists change length do not end up
+// at the same position.
 auto takeRoundRobin(const std::vector<Address> &all, std::size_t count, std::size_t &offset)
     -> std::vector<Address>
 {
@@ -26,8 +27,9 @@
     return taken;
 }
 
-// Each router begins elsewhere. From the same place on, all would send to the same few at a time,
-// and what is passed on would reach the last of 68 routers after a whole round of 1.4 s.
+// Each router starts at another offset. With the same offset all routers would send to the same few
+// targets at a time, and relayed information would reach the last of 68 routers only after a whole
+// round of 1.4 s.
 auto initialOffset(const Address &self) -> std::size_t
 {
     return static_cast<std::uint32_t>(direct::readerRank(self));
@@ -54,7 +56,8 @@
     if (digest.sender == self_)
         return false;
     auto &row = peers_[keyOf(digest.sender)];
-    // A lower life is a late datagram of an earlier process, or the time of day was set back.
+    // A lower incarnation is a late datagram of an earlier process, or the time of day was set
+    // back.
     const auto isFromEarlierIncarnation =
         digest.life < row.incarnation && now - row.heardAt <= aliveFor;
     const auto isOld = digest.life == row.incarnation && digest.sequence <= row.sequence;
--- a/src/gateway/status.h
+++ b/src/gateway/status.h
@@ -1,4 +1,4 @@
-/// What HTTP statuses mean to a gateway.
+/// HTTP statuses and their meaning for a gateway.
 #pragma once
 
 namespace applehatch::gateway {
@@ -11,7 +11,7 @@
 inline constexpr int firstSuccess = 200;
 inline constexpr int firstRedirect = 300;
 
-// Statuses that tell a caller that its request did not run and never will.
+// Whether a status tells a caller that its request did not run and never will.
 [[nodiscard]] inline auto impliesNotRun(int status) -> bool
 {
     return status == requestTimeout || status == misdirected || status == tooManyRequests
--- a/src/gateway/upstream-connection.cc
+++ b/src/gateway/upstream-connection.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// An upstream that sends more answers to earlier requests than this is out of step for good.
+// An upstream that sends more answers to earlier requests than this will not get back in sync.
 constexpr int maxSkippedAnswers = 3;
 constexpr int firstFinalStatus = 200;
 
@@ -55,7 +55,7 @@
     request_ = std::move(request);
     hooks_ = std::move(hooks);
     beginAnswer();
-    const auto self = shared_from_this(); // A failed write may drop the last other owner.
+    const auto self = shared_from_this(); // A failed write may release the last other owner.
     channel_->write(request_.text);
     request_.text.clear();
 }
@@ -78,8 +78,8 @@
     informational_ = head.status < firstFinalStatus;
     if (informational_)
         return;
-    // An upstream may send a second answer to an earlier request where the next one is expected.
-    // Taken for the answer, a caller would get what belongs to another; the echoed id tells.
+    // An upstream may send a second answer to an earlier request instead of the expected one. The
+    // echoed request id detects this; otherwise a caller would get an answer meant for another.
     const auto *id = request_.idHeader.empty() ? nullptr : head.headers.find(request_.idHeader);
     isStaleAnswer_ = !request_.idHeader.empty() && (id == nullptr || *id != request_.id);
     if (isStaleAnswer_)
@@ -105,22 +105,22 @@
         if (!busy_)
             break;
         if (result == ReadState::Failed)
-            return failWith("unreadable answer");
+            return failWith("invalid response");
         if (result == ReadState::NeedMore)
             return;
         if (!informational_ && !isStaleAnswer_) {
-            // Bytes after a whole answer belong to no request, and the next answer could not be
-            // told apart from them.
+            // Bytes after a complete answer belong to no request, and the next answer could not be
+            // distinguished from them.
             if (!bytes.empty())
                 keepAlive_ = false;
             return finish();
         }
         if (isStaleAnswer_ && ++skippedAnswers_ > maxSkippedAnswers)
-            return failWith("answers to other requests");
+            return failWith("too many answers to earlier requests");
         beginAnswer();
     }
     if (!bytes.empty())
-        abort(); // Nobody waits for an answer here.
+        abort(); // Unsolicited bytes.
 }
 
 auto UpstreamConnection::finish() -> void
@@ -145,15 +145,15 @@
 {
     const auto self = shared_from_this();
     if (!busy_)
-        return; // The pool finds it closed.
+        return; // The pool detects that the connection is closed.
     if (error)
-        return failWith("connection broke: " + error.message());
+        return failWith("connection failed: " + error.message());
     const auto result = reader_->feedEnd();
     if (result == ReadState::Done && !isStaleAnswer_ && !informational_ && busy_) {
         keepAlive_ = false;
         return finish();
     }
-    failWith("connection closed before the answer was whole");
+    failWith("connection closed before the answer was complete");
 }
 
 auto UpstreamConnection::abort() -> void
@@ -161,7 +161,7 @@
     const auto self = shared_from_this();
     busy_ = false;
     keepAlive_ = false;
-    // The hooks may hold the caller of this function.
+    // Destroyed later, since the hooks may own the caller of this function.
     boost::asio::post(channel_->executor(), [hooks = std::exchange(hooks_, AnswerHooks())] {});
     channel_->abort();
 }
--- a/src/gateway/upstream-pool.cc
+++ b/src/gateway/upstream-pool.cc
@@ -22,7 +22,7 @@
 
 } // namespace
 
-// A connection that is being opened, and the timer that gives it up.
+// A connection that is being opened, with its timeout.
 struct UpstreamPool::Opening
 {
     explicit Opening(asio::io_context &loop)
