--- a/include/applehatch/gateway/gateway-host.h
+++ b/include/applehatch/gateway/gateway-host.h
@@ -103,7 +103,7 @@
     auto applyRegistry() -> void;
     auto logUpstreamChanges(const direct::UpstreamList &upstreams) -> void;
     auto onPeerDigest(const PeerDigest &digest) -> void;
-    auto onPeerDelta(const direct::RegistryNews &news) -> void;
+    auto onPeerDelta(const direct::RegistryNews &delta) -> void;
     auto registryRegained() -> void;
     /// Decides whether this router reads the registry itself, and reports a change of role.
     auto updateReaderRole(Instant now) -> void;
--- a/include/applehatch/gateway/peer-digest.h
+++ b/include/applehatch/gateway/peer-digest.h
@@ -41,7 +41,7 @@
 [[nodiscard]] auto decodeDigest(std::string_view bytes) -> std::optional<PeerDigest>;
 
 /// Encodes and compresses a registry delta.
-[[nodiscard]] auto encodeNews(const direct::RegistryNews &news) -> std::string;
+[[nodiscard]] auto encodeNews(const direct::RegistryNews &delta) -> std::string;
 /// Returns none if `bytes` is not a valid delta.
 [[nodiscard]] auto decodeNews(std::string_view bytes) -> std::optional<direct::RegistryNews>;
 
--- a/src/gateway/gateway-host.cc
+++ b/src/gateway/gateway-host.cc
@@ -80,7 +80,7 @@
     , mesh_(loop, pool_, settings_.peers,
             {[this](PeerDigest &digest) { fillDigest(digest); },
              [this](const PeerDigest &digest) { onPeerDigest(digest); },
-             [this](const direct::RegistryNews &news) { onPeerDelta(news); },
+             [this](const direct::RegistryNews &delta) { onPeerDelta(delta); },
              [this](const std::string &event, const std::string &peer) {
                  metrics_.noteEvent(event);
                  log(LogLine(event).add("peer", peer));
--- a/src/gateway/gateway-registry.cc
+++ b/src/gateway/gateway-registry.cc
@@ -208,19 +208,19 @@
     return since ? std::chrono::duration_cast<std::chrono::milliseconds>(*since).count() : never;
 }
 
-auto GatewayHost::onPeerDelta(const direct::RegistryNews &news) -> void
+auto GatewayHost::onPeerDelta(const direct::RegistryNews &delta) -> void
 {
     const auto before = replica_.revision();
     // A killed and restarted peer may have lost the revision that it advertised. It is asked again
     // at the next tick: if retried at once, two routers would ask each other hundreds of times
     // while the whole fleet restarts.
-    if (!replica_.apply(news, steadyNow()))
+    if (!replica_.apply(delta, steadyNow()))
         return;
     metrics_.noteEvent("registry-from-peer");
     log(LogLine("registry-from-peer")
-            .add("revision", static_cast<std::int64_t>(news.revision))
+            .add("revision", static_cast<std::int64_t>(delta.revision))
             .add("before", static_cast<std::int64_t>(before))
-            .add("changes", static_cast<std::int64_t>(news.changes.size())));
+            .add("changes", static_cast<std::int64_t>(delta.changes.size())));
     applyRegistry();
     catchUp(steadyNow());
 }
--- a/src/gateway/peer-digest.cc
+++ b/src/gateway/peer-digest.cc
@@ -129,11 +129,11 @@
     return digest;
 }
 
-auto readNews(schema::News::Reader from) -> direct::RegistryNews
+auto readDelta(schema::News::Reader from) -> direct::RegistryNews
 {
-    direct::RegistryNews news;
-    news.since = from.getSince();
-    news.revision = from.getRevision();
+    direct::RegistryNews delta;
+    delta.since = from.getSince();
+    delta.revision = from.getRevision();
     for (const auto item : from.getChanges()) {
         const auto value = item.getValue();
         direct::RegistryChange change;
@@ -141,9 +141,9 @@
         change.item.value.assign(reinterpret_cast<const char *>(value.begin()), value.size());
         change.item.revision = item.getRevision();
         change.removed = item.getRemoved();
-        news.changes.push_back(std::move(change));
+        delta.changes.push_back(std::move(change));
     }
-    return news;
+    return delta;
 }
 
 // Rounded up, so that an age never decreases when it is passed on.
@@ -206,15 +206,15 @@
     return fault == nullptr ? digest : std::nullopt;
 }
 
-auto encodeNews(const direct::RegistryNews &news) -> std::string
+auto encodeNews(const direct::RegistryNews &delta) -> std::string
 {
     capnp::MallocMessageBuilder message;
     auto root = message.initRoot<schema::News>();
-    root.setSince(news.since);
-    root.setRevision(news.revision);
-    auto changes = root.initChanges(static_cast<unsigned>(news.changes.size()));
+    root.setSince(delta.since);
+    root.setRevision(delta.revision);
+    auto changes = root.initChanges(static_cast<unsigned>(delta.changes.size()));
     for (unsigned i = 0; i < changes.size(); ++i) {
-        const auto &change = news.changes[i];
+        const auto &change = delta.changes[i];
         const auto &value = change.item.value;
         changes[i].setKey(change.item.key.c_str());
         changes[i].setValue(
@@ -231,12 +231,12 @@
     if (!plain)
         return std::nullopt;
     const auto words = wordsOf(*plain);
-    std::optional<direct::RegistryNews> news;
+    std::optional<direct::RegistryNews> delta;
     const auto fault = kj::runCatchingExceptions([&] {
         capnp::FlatArrayMessageReader reader(words, readerOptions());
-        news = readNews(reader.getRoot<schema::News>());
+        delta = readDelta(reader.getRoot<schema::News>());
     });
-    return fault == nullptr ? news : std::nullopt;
+    return fault == nullptr ? delta : std::nullopt;
 }
 
 } // namespace applehatch::gateway
--- a/src/gateway/peer-mesh.cc
+++ b/src/gateway/peer-mesh.cc
@@ -209,8 +209,8 @@
     hooks.done = [this, peer, body] {
         if (const auto whole = finishFetch())
             pool_.release(peer, whole);
-        if (const auto news = decodeNews(*body))
-            return hooks_.deltaReceived(*news);
+        if (const auto delta = decodeNews(*body))
+            return hooks_.deltaReceived(*delta);
         hooks_.note("peer-fetch-failed", keyOf(peer) + " invalid response");
     };
     WireRequest wire;
