--- a/include/applehatch/gateway/exchange.h
+++ b/include/applehatch/gateway/exchange.h
@@ -1,4 +1,4 @@
-/// One caller's request on its way through the gateway.
+/// Handling of one caller's request by the gateway.
 #pragma once
 
 #include "applehatch/direct/dispatcher.h"
@@ -19,7 +19,7 @@
 
 namespace applehatch::gateway {
 
-/// How a request ended, for the log and the counters.
+/// Result of a request, for the log and the metrics.
 struct ExchangeReport
 {
     std::string requestId;
@@ -27,60 +27,63 @@
     std::string service;
     std::string customer;
     std::string outcome; ///< Such as `answered`, `refused`, `broken-off`, `caller-left`.
-    std::string reason;  ///< What decided, for people.
-    int status = 0;      ///< Told to the caller; 0 when nothing was.
+    std::string reason;  ///< Human-readable cause of the outcome.
+    int status = 0;      ///< HTTP status sent to the caller; 0 when none was sent.
     std::string upstream;
-    std::uint32_t sent = 0; ///< Upstreams that it was sent to.
-    std::uint32_t upstreamLoad = 0;
-    std::uint32_t usable = 0;
+    std::uint32_t sent = 0;          ///< Number of upstreams to which the request was sent.
+    std::uint32_t upstreamLoad = 0;  ///< Load of the upstream when it was chosen.
+    std::uint32_t usable = 0;        ///< Number of usable upstreams at that time.
     std::uint64_t context = 0;       ///< Hash of the prompt's shared parts; 0 without a prompt.
-    std::uint32_t contextTokens = 0; ///< Of these parts.
-    bool heldContext = false;
-    std::string fetchedFrom; ///< The engine that the context was to come from; empty for none.
+    std::uint32_t contextTokens = 0; ///< Tokens in the prompt's shared parts.
+    bool heldContext = false;        ///< Whether the chosen engine already had the context.
+    std::string fetchedFrom;         ///< Engine named as source of the context; empty for none.
     bool resumed = false;
     std::uint64_t configurationVersion = 0;
-    Duration took{0};
-    std::optional<Duration> firstByte;
+    Duration duration{0};
+    std::optional<Duration> firstByte; ///< Time to the first event, or to the whole answer.
 };
 
-/// What all exchanges of a process share.
-struct ExchangeHost
+/// Services shared by all exchanges of a process.
+struct ExchangeEnvironment
 {
     boost::asio::io_context *loop = nullptr;
     direct::Dispatcher *dispatcher = nullptr;
     UpstreamPool *pool = nullptr;
     const Vocabulary *vocabulary = nullptr;
-    /// One line for each decision on the way; the request's id, an event and what decided it.
+    /// Logs a routing decision: the request id, the event's name and its cause.
     std::function<void(const std::string &id, const std::string &event, const std::string &why)>
         note;
     std::function<void(const ExchangeReport &)> ended;
     direct::StreamPace *pace = nullptr;
-    /// How long streams that begin now have, where the process stops and no longer takes them all.
-    std::function<std::optional<Duration>()> leftForStreams;
+    /// Time left for streams that begin now; none unless the process is stopping and only accepts
+    /// streams that can still finish.
+    std::function<std::optional<Duration>()> streamTimeLeft;
 };
 
-/// Sends a request to one upstream after another as its route allows, and relays the answer.
+/// Sends a request to an upstream, retries on others as its route allows, and relays the answer.
 ///
-/// Nothing here waits for its own sake: an answer goes to the caller the moment it is known.
+/// No artificial delays are added: an answer is sent to the caller as soon as it is known.
 class Exchange : public std::enable_shared_from_this<Exchange>
 {
 public:
-    /// Connections that may fail to open before the request is refused.
-    static constexpr std::uint32_t mostConnectFailures = 4;
-    /// A request that may be repeated is taken elsewhere when an upstream has sent nothing for
-    /// this many times the route's objective, or the longest pause between its events.
-    static constexpr int silentAfterObjectives = 3;
-    static constexpr int silentAfterPauses = 4;
-    static constexpr Duration silentAtLeast = std::chrono::milliseconds(200);
-    static constexpr Duration silentAtMost = std::chrono::milliseconds(1500);
-    /// The wait is counted in so many steps and a last look, in which all sockets have their turn.
-    static constexpr int silentSteps = 4;
-    static constexpr Duration lastLook = std::chrono::milliseconds(20);
-    /// Answers of plain services up to this size are held until whole, so that one that breaks off
-    /// can be fetched again from another upstream.
-    static constexpr std::size_t heldBytes = 262144;
-
-    Exchange(const ExchangeHost &host, CallerPtr caller, RequestMessage request);
+    /// Number of failed connection attempts after which the request is refused.
+    static constexpr std::uint32_t maxConnectFailures = 4;
+    /// A repeatable request is sent to another upstream when the current one has been silent for
+    /// this multiple of the route's objective, or, once events flow, of the route's longest pause
+    /// between events. The resulting timeout is clamped to the bounds below.
+    static constexpr int silenceTimeoutInObjectives = 3;
+    static constexpr int silenceTimeoutInPauses = 4;
+    static constexpr Duration minSilenceTimeout = std::chrono::milliseconds(200);
+    static constexpr Duration maxSilenceTimeout = std::chrono::milliseconds(1500);
+    /// The silence timeout runs in this many steps plus a final one, in which the event loop gets
+    /// to read all sockets.
+    static constexpr int silenceSteps = 4;
+    static constexpr Duration finalSilenceStep = std::chrono::milliseconds(20);
+    /// Answers of plain services up to this size are buffered until complete, so that a truncated
+    /// one can be requested again from another upstream.
+    static constexpr std::size_t maxBufferedBytes = 262144;
+
+    Exchange(const ExchangeEnvironment &environment, CallerPtr caller, RequestMessage request);
 
     auto run() -> void;
 
@@ -88,12 +91,12 @@
     using Failure = core::Failure;
 
     enum class Phase {
-        Searching, ///< Nothing of an answer has reached the caller.
-        Relaying,  ///< The caller has the head of the answer.
+        AwaitingAnswer, ///< No part of an answer has been sent to the caller.
+        Relaying,       ///< The head of the answer has been sent to the caller.
         Ended,
     };
 
-    /// One upstream's part.
+    /// State of the request at one upstream.
     struct Attempt
     {
         direct::Choice choice;
@@ -104,17 +107,19 @@
         bool served = false;
         bool isStream = false;
         std::optional<ResponseHead> head;
-        std::string held; ///< Body of an answer that is not relayed as it comes.
+        std::string bufferedBody; ///< Body of an answer that is not streamed.
     };
 
-    auto readTerms() -> void;
-    [[nodiscard]] auto comesTooLate() const -> bool;
-    /// Begins at the best upstream; false, with `refusal_` set, when there is none.
-    auto attempt() -> bool;
-    /// Begins at another upstream when the route, the budget and the time allow and there is one.
-    auto attemptAgain(const std::string &why) -> bool;
-    /// Nothing more can be tried.
-    auto answerExhausted() -> void;
+    auto readRequestOptions() -> void;
+    [[nodiscard]] auto cannotFinishBeforeStop() const -> bool;
+    /// Starts an attempt at the best upstream. Returns false and sets `refusal_` when there is
+    /// none.
+    auto startAttempt() -> bool;
+    /// Starts an attempt at another upstream if there is one and the route, the retry budget and
+    /// the deadline allow it. Returns whether an attempt was started.
+    auto retry(const std::string &why) -> bool;
+    /// Sends the final answer when no further attempt is possible.
+    auto answerAfterLastAttempt() -> void;
     auto useConnection(const UpstreamConnectionPtr &connection, bool isNew) -> void;
     auto sendRequest() -> void;
     [[nodiscard]] auto upstreamText() const -> std::string;
@@ -123,48 +128,48 @@
     auto onDone() -> void;
     auto onFailed(const std::string &why) -> void;
     auto onSilent() -> void;
-    auto onCallerGone() -> void;
-    auto onTimeUp() -> void;
+    auto onCallerDisconnected() -> void;
+    auto onDeadline() -> void;
 
     auto relayHead(const ResponseHead &head) -> void;
     auto relayEvents(std::string_view bytes) -> void;
     auto finishRelay() -> void;
-    auto deliverHeld() -> void;
+    auto deliverBuffered() -> void;
     auto closeAttempt(bool keepConnection) -> void;
-    /// Tells the decisions that the request has left its upstream.
-    auto noteLeft() -> void;
-    /// Another upstream when that may be; else the final answer.
-    auto tryAgainOr(const Failure &failure) -> void;
+    /// Reports to the dispatcher that the request has left its upstream.
+    auto recordAttemptEnd() -> void;
+    /// Retries at another upstream if possible, otherwise sends the final answer.
+    auto retryOrAnswer(const Failure &failure) -> void;
     [[nodiscard]] auto mayRepeat() const -> bool;
     auto answerFailure(const Failure &failure) -> void;
     auto finish(const std::string &outcome, const std::string &reason) -> void;
-    auto armSilence() -> void;
-    auto listenFor(Duration step, int times) -> void;
+    auto startSilenceTimer() -> void;
+    auto runSilenceTimer(Duration step, int remainingSteps) -> void;
     auto noteOutcome(direct::Outcome outcome) -> void;
-    [[nodiscard]] auto left() const -> Duration;
+    [[nodiscard]] auto timeLeft() const -> Duration;
 
-    const ExchangeHost &host_;
+    const ExchangeEnvironment &environment_;
     CallerPtr caller_;
     RequestMessage request_;
     direct::Permit permit_;
     direct::Demand demand_;
     std::string id_;
     Instant arrivedAt_;
-    Instant givenUpAt_;
-    Phase phase_ = Phase::Searching;
-    Attempt now_;
-    EventCutter events_;
-    Timer timeUp_;
-    Timer silence_;
-    std::uint32_t mostTokens_ = 0; // Of the answer; 0 when that is not told.
+    Instant deadline_;
+    Phase phase_ = Phase::AwaitingAnswer;
+    Attempt attempt_;
+    EventSplitter events_;
+    Timer deadlineTimer_;
+    Timer silenceTimer_;
+    std::uint32_t maxTokens_ = 0; // Maximum tokens of the answer; 0 if unknown.
     std::uint32_t sent_ = 0;
     std::uint32_t connectFailures_ = 0;
-    bool mayHaveRun_ = false; // At some upstream, whatever became of it there.
+    bool mayHaveRun_ = false; // Some upstream may have run the request, even if it failed there.
     Failure refusal_;         // Why no upstream could be chosen.
     ExchangeReport report_;
 };
 
-/// The HTTP status by which callers of a gateway are told of a failure.
+/// HTTP status that a gateway sends to its callers for a failure.
 [[nodiscard]] auto statusOf(const core::Failure &failure) -> int;
 
 } // namespace applehatch::gateway
--- a/src/gateway/gateway-registry.cc
+++ b/src/gateway/gateway-registry.cc
@@ -1,4 +1,4 @@
-// What the gateway's process does with the registry and its peers' news of it.
+// Registry handling of the gateway process: own reads, deltas from peers and the reader role.
 #include "applehatch/gateway/gateway-host.h"
 
 #include "gateway-log.h"
@@ -16,18 +16,19 @@
 
 namespace {
 
-// The registry's own watch usually brings a change sooner than this; then a peer is asked.
-constexpr Duration behindFor = std::chrono::milliseconds(250);
+// A reader's own watch usually delivers a change sooner than this; after it a peer is asked.
+constexpr Duration catchUpDelay = std::chrono::milliseconds(250);
 
 } // namespace
 
-auto GatewayHost::newsSince(std::uint64_t held) -> const std::string &
+auto GatewayHost::deltaSince(std::uint64_t peerRevision) -> const std::string &
 {
-    const auto isCached =
-        !given_.text.empty() && given_.since == held && given_.revision == replica_.revision();
+    const auto isCached = !lastDelta_.text.empty() && lastDelta_.since == peerRevision
+        && lastDelta_.revision == replica_.revision();
     if (!isCached)
-        given_ = {held, replica_.revision(), encodeNews(replica_.newsSince(held))};
-    return given_.text;
+        lastDelta_ = {peerRevision, replica_.revision(),
+                      encodeNews(replica_.newsSince(peerRevision))};
+    return lastDelta_.text;
 }
 
 auto GatewayHost::registryRead(const direct::RegistrySnapshot &snapshot) -> void
@@ -56,11 +57,12 @@
 {
     registryRegained();
     mesh_.readerBook().beat(steadyNow());
-    // When nobody was heard to read, all are told: else the next in rank would read as well.
-    if (std::exchange(tellsNextAnswer_, false))
-        mesh_.tellNow();
+    // If no reader was known, all peers are notified; otherwise the next router in rank would start
+    // reading as well.
+    if (std::exchange(reportNextAnswer_, false))
+        mesh_.advertiseToAll();
     else
-        mesh_.tellSome();
+        mesh_.advertiseToSome();
 }
 
 auto GatewayHost::nextWatch() const -> Duration
@@ -91,8 +93,8 @@
     }
     logUpstreamChanges(decoded.upstreams);
     dispatcher_.setUpstreams(std::move(decoded.upstreams));
-    if (readsWell() && !readers_.isSpare())
-        mesh_.tellNow();
+    if (isActiveReader() && !readers_.isSpare())
+        mesh_.advertiseToAll();
     releaseEarly(steadyNow());
 }
 
@@ -103,8 +105,8 @@
         before[upstream.id] = upstream;
     const auto revision = static_cast<std::int64_t>(replica_.revision());
     for (const auto &upstream : upstreams) {
-        const auto held = before.find(upstream.id);
-        const auto isNews = held == before.end() || held->second.state != upstream.state;
+        const auto previous = before.find(upstream.id);
+        const auto isNews = previous == before.end() || previous->second.state != upstream.state;
         if (isNews)
             log(LogLine("upstream")
                     .add("upstream", upstream.instance)
@@ -113,8 +115,8 @@
                          upstream.address.ip + ':' + std::to_string(upstream.address.port))
                     .add("state", direct::stateName(upstream.state))
                     .add("revision", revision));
-        if (held != before.end())
-            before.erase(held);
+        if (previous != before.end())
+            before.erase(previous);
     }
     for (const auto &[id, upstream] : before) {
         log(LogLine("upstream-gone").add("upstream", upstream.instance).add("revision", revision));
@@ -122,7 +124,7 @@
     }
 }
 
-auto GatewayHost::peerHeard(const PeerDigest &digest) -> void
+auto GatewayHost::onPeerDigest(const PeerDigest &digest) -> void
 {
     const auto now = steadyNow();
     if (!digest.brief) {
@@ -142,11 +144,11 @@
     }
     if (!behindSince_)
         behindSince_ = now;
-    if (!dispatcher_.ready() || !readsWell() || now - *behindSince_ >= behindFor)
+    if (!dispatcher_.ready() || !isActiveReader() || now - *behindSince_ >= catchUpDelay)
         mesh_.fetchNewer(replica_.revision());
 }
 
-auto GatewayHost::readsWell() const -> bool
+auto GatewayHost::isActiveReader() const -> bool
 {
     return readers_.reads() && replica_.reachable() && replica_.revision() > 0;
 }
@@ -158,9 +160,9 @@
     return replica_.revision();
 }
 
-auto GatewayHost::decideReading(Instant now) -> void
+auto GatewayHost::updateReaderRole(Instant now) -> void
 {
-    noteQuiet(now);
+    noteRegistrySilence(now);
     direct::HeardRanks heard;
     for (const auto &reader : mesh_.readerBook().readers(now))
         heard.reading.push_back(direct::readerRank(reader.router));
@@ -170,26 +172,26 @@
     const auto reads = readers_.decide(heard, now);
     if (reads == before)
         return;
-    noteTurn(reads, heard.reading.size(), now);
-    tellsNextAnswer_ = reads && heard.reading.empty();
-    // What the readers tell counts like the registry's own word.
+    noteReaderRole(reads, heard.reading.size(), now);
+    reportNextAnswer_ = reads && heard.reading.empty();
+    // Reports of the readers count as much as answers of the registry itself.
     if (!reads)
         registryRegained();
-    if (readingTurn_)
-        readingTurn_(reads);
+    if (readerRoleHook_)
+        readerRoleHook_(reads);
 }
 
-auto GatewayHost::noteQuiet(Instant now) -> void
+auto GatewayHost::noteRegistrySilence(Instant now) -> void
 {
     const auto limit = direct::RegistryReaders::quietFor(settings_.changeWithin);
-    // One that reads itself knows by its own calls.
+    // A reader notices a silent registry by its own requests.
     if (readers_.reads() || !mesh_.readerBook().setAsideWhenQuiet(limit, now))
         return;
     metrics_.noteEvent("registry-quiet");
     log(LogLine("registry-quiet").add("sinceAnswerMs", sinceAnswerMs(now)));
 }
 
-auto GatewayHost::noteTurn(bool reads, std::size_t readers, Instant now) -> void
+auto GatewayHost::noteReaderRole(bool reads, std::size_t readers, Instant now) -> void
 {
     const auto *event = reads ? "registry-turn" : "registry-turn-over";
     metrics_.noteEvent(event);
@@ -206,19 +208,19 @@
     return since ? std::chrono::duration_cast<std::chrono::milliseconds>(*since).count() : never;
 }
 
-auto GatewayHost::peerNews(const direct::RegistryNews &news) -> void
+auto GatewayHost::onPeerDelta(const direct::RegistryNews &delta) -> void
 {
     const auto before = replica_.revision();
-    // A peer that was killed may have lost what it told of. It is asked again with the next tick:
-    // at once, two routers would ask each other hundreds of times while the whole fleet starts
-    // again.
-    if (!replica_.apply(news, steadyNow()))
+    // A killed and restarted peer may have lost the revision that it advertised. It is asked again
+    // at the next tick: if retried at once, two routers would ask each other hundreds of times
+    // while the whole fleet restarts.
+    if (!replica_.apply(delta, steadyNow()))
         return;
     metrics_.noteEvent("registry-from-peer");
     log(LogLine("registry-from-peer")
-            .add("revision", static_cast<std::int64_t>(news.revision))
+            .add("revision", static_cast<std::int64_t>(delta.revision))
             .add("before", static_cast<std::int64_t>(before))
-            .add("changes", static_cast<std::int64_t>(news.changes.size())));
+            .add("changes", static_cast<std::int64_t>(delta.changes.size())));
     applyRegistry();
     catchUp(steadyNow());
 }
--- a/src/gateway/peer-digest.cc
+++ b/src/gateway/peer-digest.cc
@@ -17,10 +17,10 @@
 
 namespace {
 
-// All entries of a registry hold values of up to a megabyte each; the reader stops far beyond any
-// real one.
-constexpr std::uint64_t mostBytes = std::uint64_t{64} * 1024 * 1024;
-constexpr std::uint64_t mostWords = mostBytes / sizeof(capnp::word);
+// Limit on the size of a decoded message. Registry values are up to a megabyte each; the limit is
+// far beyond the size of any real registry.
+constexpr std::uint64_t maxMessageBytes = std::uint64_t{64} * 1024 * 1024;
+constexpr std::uint64_t maxMessageWords = maxMessageBytes / sizeof(capnp::word);
 
 auto bytesOf(capnp::MallocMessageBuilder &message) -> std::string
 {
@@ -29,7 +29,7 @@
     return {reinterpret_cast<const char *>(bytes.begin()), bytes.size()};
 }
 
-// Half the size of the plain form for a digest, whose counts and ages are small numbers.
+// Packing halves the size of a digest, since its counts and ages are small numbers.
 auto packedBytesOf(capnp::MallocMessageBuilder &message) -> std::string
 {
     kj::VectorOutputStream stream;
@@ -38,11 +38,11 @@
     return {reinterpret_cast<const char *>(bytes.begin()), bytes.size()};
 }
 
-// News begin with their length before compression, lowest byte first.
+// A delta starts with its uncompressed length in little-endian byte order.
 constexpr std::size_t lengthBytes = 8;
 
-// A configuration of 1,000 routes is 240 KB of text, and a router with a link of 10 Mbit/s gives it
-// to nine others: 1.7 s as it is, 0.2 s compressed, when it must be in force everywhere within two.
+// A configuration of 1,000 routes is 240 KB of text. Sending it to nine peers over a 10 Mbit/s link
+// takes 1.7 s uncompressed and 0.2 s compressed, and it must be in force everywhere within 2 s.
 auto compressed(std::string_view plain) -> std::string
 {
     auto size = compressBound(plain.size());
@@ -52,7 +52,8 @@
     const auto status =
         compress2(reinterpret_cast<Bytef *>(out.data() + lengthBytes), &size,
                   reinterpret_cast<const Bytef *>(plain.data()), plain.size(), Z_BEST_SPEED);
-    out.resize(lengthBytes + (status == Z_OK ? size : 0)); // Empty news are unreadable to the peer.
+    // On failure nothing follows the length, and the peer rejects the delta.
+    out.resize(lengthBytes + (status == Z_OK ? size : 0));
     return out;
 }
 
@@ -63,7 +64,7 @@
     std::uint64_t length = 0;
     for (std::size_t i = 0; i < lengthBytes; ++i)
         length |= std::uint64_t{static_cast<unsigned char>(bytes[i])} << (8 * i);
-    if (length > mostBytes)
+    if (length > maxMessageBytes)
         return std::nullopt;
     std::string plain(length, '\0');
     auto size = static_cast<uLongf>(length);
@@ -75,7 +76,7 @@
     return plain;
 }
 
-// The reader wants aligned words; bytes from a socket may lie anywhere.
+// Copies the bytes, since Cap'n Proto requires aligned words.
 auto wordsOf(std::string_view bytes) -> kj::Array<capnp::word>
 {
     auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
@@ -86,7 +87,7 @@
 auto readerOptions() -> capnp::ReaderOptions
 {
     capnp::ReaderOptions options;
-    options.traversalLimitInWords = mostWords;
+    options.traversalLimitInWords = maxMessageWords;
     return options;
 }
 
@@ -128,11 +129,11 @@
     return digest;
 }
 
-auto readNews(schema::News::Reader from) -> direct::RegistryNews
+auto readDelta(schema::News::Reader from) -> direct::RegistryNews
 {
-    direct::RegistryNews news;
-    news.since = from.getSince();
-    news.revision = from.getRevision();
+    direct::RegistryNews delta;
+    delta.since = from.getSince();
+    delta.revision = from.getRevision();
     for (const auto item : from.getChanges()) {
         const auto value = item.getValue();
         direct::RegistryChange change;
@@ -140,12 +141,12 @@
         change.item.value.assign(reinterpret_cast<const char *>(value.begin()), value.size());
         change.item.revision = item.getRevision();
         change.removed = item.getRemoved();
-        news.changes.push_back(std::move(change));
+        delta.changes.push_back(std::move(change));
     }
-    return news;
+    return delta;
 }
 
-// Rounded up, so that passing an age on never makes it younger.
+// Rounded up, so that an age never decreases when it is passed on.
 auto ageMs(core::Duration age) -> std::uint32_t
 {
     const auto count = std::chrono::ceil<std::chrono::milliseconds>(age).count();
@@ -205,15 +206,15 @@
     return fault == nullptr ? digest : std::nullopt;
 }
 
-auto encodeNews(const direct::RegistryNews &news) -> std::string
+auto encodeNews(const direct::RegistryNews &delta) -> std::string
 {
     capnp::MallocMessageBuilder message;
     auto root = message.initRoot<schema::News>();
-    root.setSince(news.since);
-    root.setRevision(news.revision);
-    auto changes = root.initChanges(static_cast<unsigned>(news.changes.size()));
+    root.setSince(delta.since);
+    root.setRevision(delta.revision);
+    auto changes = root.initChanges(static_cast<unsigned>(delta.changes.size()));
     for (unsigned i = 0; i < changes.size(); ++i) {
-        const auto &change = news.changes[i];
+        const auto &change = delta.changes[i];
         const auto &value = change.item.value;
         changes[i].setKey(change.item.key.c_str());
         changes[i].setValue(
@@ -230,12 +231,12 @@
     if (!plain)
         return std::nullopt;
     const auto words = wordsOf(*plain);
-    std::optional<direct::RegistryNews> news;
+    std::optional<direct::RegistryNews> delta;
     const auto fault = kj::runCatchingExceptions([&] {
         capnp::FlatArrayMessageReader reader(words, readerOptions());
-        news = readNews(reader.getRoot<schema::News>());
+        delta = readDelta(reader.getRoot<schema::News>());
     });
-    return fault == nullptr ? news : std::nullopt;
+    return fault == nullptr ? delta : std::nullopt;
 }
 
 } // namespace applehatch::gateway
--- a/src/gateway/upstream-connection.cc
+++ b/src/gateway/upstream-connection.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-// An upstream that sends more answers to earlier requests than this is out of step for good.
-constexpr int mostSkipped = 3;
+// An upstream that sends more answers to earlier requests than this will not get back in sync.
+constexpr int maxSkippedAnswers = 3;
 constexpr int firstFinalStatus = 200;
 
 auto parseSeconds(std::string_view text) -> std::optional<Duration>
@@ -51,26 +51,26 @@
 auto UpstreamConnection::send(WireRequest request, AnswerHooks hooks) -> void
 {
     busy_ = true;
-    skipped_ = 0;
+    skippedAnswers_ = 0;
     request_ = std::move(request);
     hooks_ = std::move(hooks);
     beginAnswer();
-    const auto self = shared_from_this(); // A failed write may drop the last other owner.
+    const auto self = shared_from_this(); // A failed write may release the last other owner.
     channel_->write(request_.text);
     request_.text.clear();
 }
 
 auto UpstreamConnection::beginAnswer() -> void
 {
-    foreign_ = false;
+    isStaleAnswer_ = false;
     informational_ = false;
     ResponseReader::Hooks hooks;
     hooks.head = [this](ResponseHead &head) { takeHead(head); };
     hooks.body = [this](std::string_view bytes) {
-        if (busy_ && !foreign_)
+        if (busy_ && !isStaleAnswer_)
             hooks_.body(bytes);
     };
-    reader_.emplace(std::move(hooks), request_.toHead);
+    reader_.emplace(std::move(hooks), request_.isHead);
 }
 
 auto UpstreamConnection::takeHead(ResponseHead &head) -> void
@@ -78,11 +78,11 @@
     informational_ = head.status < firstFinalStatus;
     if (informational_)
         return;
-    // An upstream may send a second answer to an earlier request where the next one is expected.
-    // Taken for the answer, a caller would get what belongs to another; the echoed id tells.
+    // An upstream may send a second answer to an earlier request instead of the expected one. The
+    // echoed request id detects this; otherwise a caller would get an answer meant for another.
     const auto *id = request_.idHeader.empty() ? nullptr : head.headers.find(request_.idHeader);
-    foreign_ = !request_.idHeader.empty() && (id == nullptr || *id != request_.id);
-    if (foreign_)
+    isStaleAnswer_ = !request_.idHeader.empty() && (id == nullptr || *id != request_.id);
+    if (isStaleAnswer_)
         return;
     keepAlive_ = head.keepAlive;
     noteKeepAlive(head.headers);
@@ -94,7 +94,7 @@
 {
     const auto *value = headers.find("Keep-Alive");
     if (value != nullptr)
-        keptFor_ = parseSeconds(*value);
+        keepAliveTimeout_ = parseSeconds(*value);
 }
 
 auto UpstreamConnection::read(std::string &bytes) -> void
@@ -105,22 +105,22 @@
         if (!busy_)
             break;
         if (result == ReadState::Failed)
-            return failWith("unreadable answer");
+            return failWith("invalid response");
         if (result == ReadState::NeedMore)
             return;
-        if (!informational_ && !foreign_) {
-            // Bytes after a whole answer belong to no request, and the next answer could not be
-            // told apart from them.
+        if (!informational_ && !isStaleAnswer_) {
+            // Bytes after a complete answer belong to no request, and the next answer could not be
+            // distinguished from them.
             if (!bytes.empty())
                 keepAlive_ = false;
             return finish();
         }
-        if (foreign_ && ++skipped_ > mostSkipped)
-            return failWith("answers to other requests");
+        if (isStaleAnswer_ && ++skippedAnswers_ > maxSkippedAnswers)
+            return failWith("too many answers to earlier requests");
         beginAnswer();
     }
     if (!bytes.empty())
-        abort(); // Nobody waits for an answer here.
+        abort(); // Unsolicited bytes.
 }
 
 auto UpstreamConnection::finish() -> void
@@ -145,15 +145,15 @@
 {
     const auto self = shared_from_this();
     if (!busy_)
-        return; // The pool finds it closed.
+        return; // The pool detects that the connection is closed.
     if (error)
-        return failWith("connection broke: " + error.message());
+        return failWith("connection failed: " + error.message());
     const auto result = reader_->feedEnd();
-    if (result == ReadState::Done && !foreign_ && !informational_ && busy_) {
+    if (result == ReadState::Done && !isStaleAnswer_ && !informational_ && busy_) {
         keepAlive_ = false;
         return finish();
     }
-    failWith("connection closed before the answer was whole");
+    failWith("connection closed before the answer was complete");
 }
 
 auto UpstreamConnection::abort() -> void
@@ -161,7 +161,7 @@
     const auto self = shared_from_this();
     busy_ = false;
     keepAlive_ = false;
-    // The hooks may hold the caller of this function.
+    // Destroyed later, since the hooks may own the caller of this function.
     boost::asio::post(channel_->executor(), [hooks = std::exchange(hooks_, AnswerHooks())] {});
     channel_->abort();
 }
