--- a/include/applehatch/core/admission.h
+++ b/include/applehatch/core/admission.h
@@ -1,4 +1,4 @@
-/// Whether one more request may join an upstream, and how long it would wait.
+/// Admission control of one upstream: its load bound, and the expected wait in its queue.
 #pragma once
 
 #include "applehatch/core/load-table.h"
@@ -8,39 +8,40 @@
 
 namespace applehatch::core {
 
-/// The largest load an upstream may reach now.
+/// The maximum load that an upstream with `slots` may reach now.
 ///
-/// `heard` includes the upstream itself. When none of the other members has been heard from, the
-/// mean is unknown and the upstream takes no more than it can run at once; a pool of one member
-/// has no mean to keep to, so only its queue bounds it.
+/// `heard` is the known load of the pool, the upstream itself included. When no other member has
+/// reported, the mean is unknown and the upstream accepts no more than it can run at once. A pool
+/// of one member has no mean to compare with, so only the length of its queue bounds it.
 [[nodiscard]] auto admissionBound(const Pool &pool, const PoolLoad &heard, std::uint32_t slots)
     -> std::uint32_t;
 
-/// How long runs take: an exponentially weighted moving average.
+/// Exponentially weighted moving average of the time that a run occupies a slot.
 class ServiceTime
 {
 public:
     auto record(Duration run) -> void;
 
-    /// None before the first run ended.
+    /// The average run time; none before the first run ended.
     [[nodiscard]] auto mean() const -> std::optional<Duration> { return mean_; }
 
 private:
     std::optional<Duration> mean_;
 };
 
-/// What stands before a request that must wait.
+/// The work that an upstream does before it starts a request that must wait.
 struct Backlog
 {
-    double ahead = 0; ///< Waiting requests that go first.
+    double ahead = 0; ///< Waiting requests that are served first.
     std::uint32_t slots = 1;
-    double takenShare = 0; ///< Of the slots, by requests yet to come that will go first.
+    double higherPriorityShare =
+        0; ///< Share of the slots taken by future requests of a higher priority.
 };
 
-/// Until a slot is free for a request behind `backlog`, all slots being taken.
+/// The expected time until a slot is free for a request behind `backlog` when all slots are taken.
 [[nodiscard]] auto expectedWait(const Backlog &backlog, Duration serviceTime) -> Duration;
 
-/// When a refused caller may come back: about when `backlog` has been worked off.
+/// The time after which a refused caller may retry: about when `backlog` has been served.
 [[nodiscard]] auto retryAfterFor(const Backlog &backlog, std::optional<Duration> serviceTime)
     -> Duration;
 
--- a/include/applehatch/core/arrival-rates.h
+++ b/include/applehatch/core/arrival-rates.h
@@ -1,4 +1,4 @@
-/// How fast requests of each priority have lately been taken.
+/// Recent rates of accepted requests by priority.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -7,20 +7,20 @@
 
 namespace applehatch::core {
 
-/// Exponentially decaying rates by priority.
+/// Exponentially decaying arrival rates by priority.
 class ArrivalRates
 {
 public:
     auto record(int priority, Instant now) -> void;
 
-    /// Requests a second of priorities larger than `priority`.
+    /// The rate of requests with a priority larger than `priority`, in requests per second.
     [[nodiscard]] auto above(int priority, Instant now) const -> double;
 
 private:
     struct Rate
     {
         double perSecond = 0;
-        Instant since; ///< When `perSecond` held.
+        Instant since; ///< When `perSecond` was computed.
     };
 
     [[nodiscard]] static auto decayed(const Rate &rate, Instant now) -> double;
--- a/include/applehatch/core/chat-pointers.h
+++ b/include/applehatch/core/chat-pointers.h
@@ -1,4 +1,4 @@
-/// Where chats' contexts are: here, or at the upstream they moved to.
+/// Locations of chat contexts: cached at this upstream, or at the upstream that the chat moved to.
 #pragma once
 
 #include "applehatch/core/expiring-map.h"
@@ -8,45 +8,48 @@
 
 namespace applehatch::core {
 
-/// Hints only: cache events come late and with gaps, so a wrong one costs a cold run, no more.
+/// Hints about which upstream caches a chat's context.
+///
+/// Cache events arrive late and with gaps. A wrong hint costs one cold run and nothing else.
 class ChatPointers
 {
 public:
     explicit ChatPointers(std::size_t capacity);
 
-    /// The chat's newest turn ran elsewhere.
+    /// Records that the newest turn of `chat` ran at `holder`, another upstream.
     auto moved(ChatKey chat, UpstreamId holder, Instant now) -> void;
 
-    /// The chat's newest turn ran here.
+    /// Records that the newest turn of `chat` ran at this upstream.
     auto ran(ChatKey chat, Instant now) -> void;
 
-    /// The engine stored the chat's context.
+    /// Records that the engine stored the context of `chat`.
     auto stored(ChatKey chat, Instant now) -> void;
 
-    /// The engine dropped the chat's context.
+    /// Records that the engine dropped the context of `chat`.
     auto evicted(ChatKey chat) -> void;
 
-    /// The engine restarted and holds nothing.
+    /// Records that the engine restarted with an empty cache.
     auto evictedAll() -> void;
 
     [[nodiscard]] auto isWarm(ChatKey chat, Instant now) const -> bool;
 
-    /// Who holds the chat's context; 0 when unknown.
+    /// The other upstream that holds the context of `chat`; 0 when unknown.
     [[nodiscard]] auto holder(ChatKey chat, Instant now) const -> UpstreamId;
 
-    /// Chats held here, the latest used first.
+    /// Up to `count` chats with a context at this upstream, most recently used first.
     [[nodiscard]] auto hottest(std::size_t count) const -> std::vector<ChatKey>;
 
-    /// Drops what has expired among about `most` chats of each kind, in turn.
-    auto expireSome(Instant now, std::size_t most) -> void;
+    /// Checks about `maxChats` entries of each of the two tables and drops the expired ones. The
+    /// next call continues where this one stopped.
+    auto expireSome(Instant now, std::size_t maxChats) -> void;
 
-    [[nodiscard]] auto size() const -> std::size_t { return moved_.size(); }
+    [[nodiscard]] auto size() const -> std::size_t { return holders_.size(); }
 
 private:
     struct Warm
     { };
 
-    ExpiringMap<UpstreamId> moved_;
+    ExpiringMap<UpstreamId> holders_;
     ExpiringMap<Warm> warm_;
 };
 
--- a/include/applehatch/core/crash-book.h
+++ b/include/applehatch/core/crash-book.h
@@ -1,4 +1,4 @@
-/// Which requests were running when upstreams died.
+/// Tracks which requests were running when upstreams crashed.
 #pragma once
 
 #include "applehatch/core/digest.h"
@@ -14,41 +14,42 @@
 
 /// Crash notices of the whole pool, each with its expiry.
 ///
-/// A notice with nothing remaining withdraws the one with the same life and sequence; without that
-/// an innocent that shared a crash and then finished elsewhere would stay suspected.
+/// A notice with no remaining lifetime withdraws the notice with the same incarnation and sequence
+/// number. Without that a harmless request that was running during a crash and then finished at
+/// another upstream would stay a suspect.
 class CrashBook
 {
 public:
-    /// How long a notice is kept after its crash.
+    /// How long a notice is kept after the crash.
     static constexpr Duration lifetime = std::chrono::minutes(10);
 
     explicit CrashBook(std::size_t capacity);
 
-    /// Takes a notice from this or another process; true when it was news.
+    /// Applies a notice from this or another process. Returns true when it changed the table.
     auto apply(const CrashNotice &notice, Instant now) -> bool;
 
-    /// The request finished: it did not crash the upstream it ran at.
+    /// Withdraws the notices of a request that finished and so did not crash its upstream.
     auto clear(Fingerprint fingerprint, Instant now) -> void;
 
-    /// How many crashes it shared.
+    /// The number of crashes during which the request was running.
     [[nodiscard]] auto crashes(Fingerprint fingerprint, Instant now) const -> std::size_t;
 
-    /// Whether it may not run any more.
+    /// Whether the request is refused because it was running during too many crashes.
     [[nodiscard]] auto isSuspect(Fingerprint fingerprint, Instant now) const -> bool;
 
-    /// Where those crashes happened.
+    /// The upstreams whose crashes are counted by `crashes`.
     [[nodiscard]] auto upstreams(Fingerprint fingerprint, Instant now) const
         -> std::vector<UpstreamId>;
 
-    /// When the last of those crashes happened, on this process's clock; none without one.
+    /// The time of the last crash counted by `crashes`, on this process's clock; none without one.
     [[nodiscard]] auto lastAt(Fingerprint fingerprint, Instant now) const -> std::optional<Instant>;
 
-    /// Up to `count` notices for a digest, newest first.
+    /// Up to `count` notices for a digest, the most recently changed first.
     [[nodiscard]] auto notices(std::size_t count, Instant now) const -> std::vector<CrashNotice>;
 
     auto expire(Instant now) -> void;
 
-    [[nodiscard]] auto size() const -> std::size_t { return held_.size(); }
+    [[nodiscard]] auto size() const -> std::size_t { return entries_.size(); }
 
 private:
     struct Key
@@ -65,18 +66,18 @@
         }
     };
 
-    struct Held
+    struct Entry
     {
         Instant until;
         bool withdrawn = false;
-        std::uint64_t order = 0; // Rises with each change; newer ones are told first.
+        std::uint64_t order = 0; // Rises with each change; newer notices are advertised first.
     };
 
     auto dropOldest() -> void;
 
     std::size_t capacity_;
     std::uint64_t changes_ = 0;
-    std::map<Key, Held> held_;
+    std::map<Key, Entry> entries_;
 };
 
 } // namespace applehatch::core
--- a/include/applehatch/core/host-list-pace.h
+++ b/include/applehatch/core/host-list-pace.h
@@ -1,4 +1,4 @@
-/// When a process reads the platform's host list.
+/// Schedule of a process's reads of the platform's host list.
 #pragma once
 
 #include "applehatch/core/load-table.h"
@@ -9,40 +9,41 @@
 
 /// Spaces out a process's own reads of the host list.
 ///
-/// The platform takes some 2,000 calls a second from all processes for all it publishes; one read a
-/// second of each would be more than half of that. The longest wait bounds how long a leaving host
-/// stays unknown here, and needs neither peers nor digests for it.
+/// The platform accepts some 2,000 calls per second from all processes for everything it publishes.
+/// One read per second from each process would be more than half of that. The maximum wait bounds
+/// how long a leaving host stays unknown to this process, without help from peers or digests.
 class HostListPace
 {
 public:
     explicit HostListPace(std::uint64_t seed);
 
-    /// The wait until the next read, counted from the end of the one before or from the start.
+    /// The wait until the next read, counted from the end of the previous read or, for the first
+    /// one, from the start of the process.
     [[nodiscard]] auto wait() -> Duration;
 
-    /// True when the next read should ask for the whole list whatever version is held.
+    /// True when the next read should ask for the whole list whatever version is known.
     ///
-    /// A platform that was set up anew counts from 1 again, and may stand at just the version held
-    /// here with other hosts; a process that asks by version alone would keep the old ones.
+    /// A platform that was reinstalled counts versions from 1 again and may reach the version known
+    /// here with different hosts. A process that asks by version alone would keep the old hosts.
     [[nodiscard]] auto wantsWhole() const -> bool;
 
     auto succeeded() -> void;
     auto failed() -> void;
 
-    /// Of waits after a read that succeeded.
+    /// Maximum wait after a read that succeeded.
     static constexpr Duration longestWait = std::chrono::seconds(3);
 
 private:
     enum class Last {
         None,
         Read,
-        FirstFailure, ///< After a read; tried again soon.
+        FirstFailure, ///< The first failure after a successful read; retried soon.
         Failure,
     };
 
     Random random_;
     Last last_ = Last::None;
-    unsigned readsSinceWhole_;
+    unsigned readsSinceFullRead_;
 };
 
 } // namespace applehatch::core
--- a/include/applehatch/core/identity.h
+++ b/include/applehatch/core/identity.h
@@ -1,4 +1,4 @@
-/// Names of requests, chats and processes as decisions use them.
+/// Identifiers of requests, chats and processes that the routing decisions use.
 #pragma once
 
 #include "applehatch/settings/settings.h"
@@ -17,19 +17,20 @@
 using settings::SettingsPtr;
 using settings::UpstreamId;
 
-/// Names one life of a sidecar process; larger for a later life. 0 names none.
+/// Identifies one run of a sidecar process, from start to exit; larger for a later run. 0 means
+/// none.
 using Incarnation = std::uint64_t;
 
-/// Given by the router that first received the request; unique in the fleet.
+/// Assigned by the router that first received the request; unique in the fleet.
 using RequestId = std::string;
 
-/// Hash of what a request asks for: method, path, customer and body.
+/// Hash of a request's content: method, path, customer and body.
 using Fingerprint = std::uint64_t;
 
 /// Hash of (team, pool, chat); 0 means that the request belongs to no chat.
 using ChatKey = std::uint64_t;
 
-/// One sidecar in one life, as named by context tokens and run-once tickets.
+/// One incarnation of a sidecar, as identified by context tokens and run-once tickets.
 struct UpstreamLife
 {
     UpstreamId upstream = 0;
--- a/include/applehatch/core/load-table.h
+++ b/include/applehatch/core/load-table.h
@@ -1,4 +1,4 @@
-/// The load plane: what one process knows of the load of others, and what it passes on.
+/// Load reports: what one process knows of the load of other processes and advertises to peers.
 #pragma once
 
 #include "applehatch/core/digest.h"
@@ -12,68 +12,68 @@
 
 namespace applehatch::core {
 
-/// Drawn from by decisions; seeded by the host so that a run can be repeated.
+/// Random number generator of the decisions; seeded by the host so that a run can be repeated.
 using Random = std::mt19937_64;
 
-/// The load of one pool as far as one process has heard.
+/// The load of one pool as known to one process.
 struct PoolLoad
 {
-    std::uint32_t members = 0; ///< Members heard from lately and able to take work.
-    std::uint64_t load = 0;    ///< Running and waiting, summed.
+    std::uint32_t members = 0; ///< Serving members with a recent report.
+    std::uint64_t load = 0;    ///< Running and waiting requests of these members.
     std::uint64_t slots = 0;
-    std::uint64_t running = 0; ///< The part of `load` that is at the upstreams.
+    std::uint64_t running = 0; ///< The part of `load` that is running.
 
     /// Load per slot; 0 for an empty pool.
     [[nodiscard]] auto mean() const -> double;
 };
 
-/// The largest load that keeps an upstream with `slots` within `multiple` of its pool's mean after
-/// one more request joins the pool; at least 1.
+/// The maximum load that keeps an upstream with `slots` within `multiple` times its pool's mean
+/// load per slot after one more request joins the pool; at least 1.
 [[nodiscard]] auto loadBound(const PoolLoad &pool, std::uint32_t slots, double multiple)
     -> std::uint32_t;
 
-/// Whether `candidate` tells of a later moment than `held`, both about one upstream.
-[[nodiscard]] auto isNewer(const DigestEntry &candidate, const DigestEntry &held) -> bool;
+/// Whether `candidate` is a later report than `stored`; both are about the same upstream.
+[[nodiscard]] auto isNewer(const DigestEntry &candidate, const DigestEntry &stored) -> bool;
 
-/// Newest known entry of each upstream, with expiry.
+/// The newest known digest entry of each upstream, with expiry.
 class LoadTable
 {
 public:
-    /// Entries older than `lifetime` no longer count towards a mean.
+    /// Entries older than `lifetime` are ignored, in lookups and in the mean.
     explicit LoadTable(Duration lifetime = std::chrono::seconds(10));
 
-    /// Takes entries that are newer than those held (by incarnation, then version).
-    /// Returns how many were taken.
+    /// Stores the entries that are newer than those known (by incarnation, then version).
+    /// Returns how many were stored.
     auto apply(const std::vector<DigestEntry> &entries, Instant now) -> std::size_t;
 
-    /// The held entry with its age brought up to `now`; none when unknown or expired.
+    /// The stored entry with its age brought up to `now`; none when unknown or expired.
     [[nodiscard]] auto find(UpstreamId upstream, Instant now) const -> std::optional<DigestEntry>;
 
-    /// Sums the configured members of `pool` that are serving and heard from.
+    /// Sums the loads of the configured members of `pool` that are serving and have an entry.
     [[nodiscard]] auto poolLoad(const Pool &pool, Instant now) const -> PoolLoad;
 
-    /// The `count` most recently changed entries, newest first.
+    /// Up to `count` entries with the smallest age, newest first.
     [[nodiscard]] auto freshest(std::size_t count, Instant now) const -> std::vector<DigestEntry>;
 
-    /// The same among the members of `pool`, without those that are no news to a reader who has
-    /// `known`.
+    /// Up to `count` entries of the members of `pool`, newest first, without those for which
+    /// `known` already has an entry as new.
     [[nodiscard]] auto freshestOf(const Pool &pool, const std::vector<DigestEntry> &known,
                                   std::size_t count, Instant now) const -> std::vector<DigestEntry>;
 
     /// Drops expired entries.
     auto expire(Instant now) -> void;
 
-    [[nodiscard]] auto size() const -> std::size_t { return held_.size(); }
+    [[nodiscard]] auto size() const -> std::size_t { return entries_.size(); }
 
 private:
-    struct Held
+    struct StoredEntry
     {
         DigestEntry entry;
         Instant madeAt;
     };
 
     Duration lifetime_;
-    std::unordered_map<UpstreamId, Held> held_;
+    std::unordered_map<UpstreamId, StoredEntry> entries_;
 };
 
 } // namespace applehatch::core
--- a/include/applehatch/core/placement.h
+++ b/include/applehatch/core/placement.h
@@ -1,4 +1,4 @@
-/// Which upstream gets a request: the default order and the baselines it is measured against.
+/// Choice of the upstream for a request: the default placement and the baselines for comparison.
 #pragma once
 
 #include "applehatch/core/router-node.h"
@@ -7,13 +7,14 @@
 
 namespace applehatch::core {
 
-/// Candidates that the default placement ranks; more are never tried for one request.
+/// Maximum number of candidates that the default placement ranks; no request tries more.
 inline constexpr std::size_t placementDepth = 16;
 
-/// The default: the context token's home, then weighted rendezvous hashing of the chat; without a
-/// chat the lesser loaded of two random members. Own data centre first where the pool says so.
+/// Default placement: the upstream that the context token names, then weighted rendezvous hashing
+/// of the chat; without a chat the less loaded of two random members. Members of the own data
+/// centre come first where the pool prefers them.
 ///
-/// Gives at most `placementDepth` members.
+/// Returns at most `maxPlacementCandidates` members.
 [[nodiscard]] auto placeByContext(const PlacementView &view, Random &random)
     -> std::vector<UpstreamId>;
 
@@ -21,7 +22,7 @@
 [[nodiscard]] auto placeRandom(const PlacementView &view, Random &random)
     -> std::vector<UpstreamId>;
 
-/// Baseline: the lesser loaded of two random members; chats are ignored.
+/// Baseline: the less loaded of two random members; chats are ignored.
 [[nodiscard]] auto placeLeastOfTwo(const PlacementView &view, Random &random)
     -> std::vector<UpstreamId>;
 
@@ -29,19 +30,21 @@
 [[nodiscard]] auto placeRendezvousLive(const PlacementView &view, Random &random)
     -> std::vector<UpstreamId>;
 
-/// Baseline: consistent hashing on a ring; members known to be at their bound are passed over.
+/// Baseline: consistent hashing on a ring; members known to be at their load bound come last.
 [[nodiscard]] auto placeConsistentBounded(const PlacementView &view, Random &random)
     -> std::vector<UpstreamId>;
 
-/// True when a recent load puts the member so far over its bound that it would refuse a request.
+/// True when a recent report shows a member so far over its load bound that it would refuse a
+/// request.
 [[nodiscard]] auto isClearlyOver(const PlacementView &view, UpstreamId id) -> bool;
 
-/// Where the configured members alone would put a chat; 0 for an empty pool.
+/// The owner of `chat` by rendezvous hashing over the configured members, live or not; 0 for an
+/// empty pool.
 [[nodiscard]] auto chatHome(const Pool &pool, ChatKey chat, std::string_view ownDataCenter)
     -> UpstreamId;
 
 /// The first `count` of the configured members in weighted rendezvous order of `key`: the same in
-/// every process with the same settings, whatever it knows of who is live.
+/// every process with the same settings, whichever members it considers live.
 [[nodiscard]] auto rendezvousOrder(const Pool &pool, std::uint64_t key, std::size_t count)
     -> std::vector<UpstreamId>;
 
--- a/include/applehatch/core/rendezvous.h
+++ b/include/applehatch/core/rendezvous.h
@@ -1,4 +1,4 @@
-/// Weighted rendezvous hashing: who of a configured member list is responsible for a key.
+/// Weighted rendezvous hashing: which member of a configured list owns a key.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -8,15 +8,15 @@
 
 namespace applehatch::core {
 
-/// Score of `member` for `key`; the member with the largest score is the key's owner.
+/// The score of `member` for `key`; the member with the largest score owns the key.
 ///
-/// A member's share of the keys is proportional to `slots`. A change of the list moves only the
+/// A member's share of the keys is proportional to `slots`. A change to the list moves only the
 /// keys of the members that changed.
 [[nodiscard]] auto rendezvousScore(std::uint64_t key, UpstreamId member, std::uint32_t slots)
     -> double;
 
-/// Hash of `member` for `key`; among members of equal slots it orders as the score does, at less
-/// than half of its cost.
+/// The hash of `member` for `key`. Among members with equal slots it gives the same order as the
+/// score, at less than half of the cost.
 [[nodiscard]] auto rendezvousHash(std::uint64_t key, UpstreamId member) -> std::uint64_t;
 
 /// All members, best score first; ties go to the smaller id.
--- a/include/applehatch/core/router-node.h
+++ b/include/applehatch/core/router-node.h
@@ -1,4 +1,4 @@
-/// The router's decisions: events and the time in, actions out.
+/// The router's decision logic: takes events with their time and returns actions.
 #pragma once
 
 #include "applehatch/core/load-table.h"
@@ -29,8 +29,8 @@
 /// A caller asks for the rest of an answer, at any router.
 struct CallerResume
 {
-    RequestId request;    ///< Names this exchange with the caller.
-    std::string position; ///< The `Last-Event-ID` it saw last.
+    RequestId request;    ///< Identifies this exchange with the caller.
+    std::string position; ///< The last `Last-Event-ID` that the caller received.
     std::string team;
     std::string customer;
 };
@@ -44,14 +44,14 @@
     std::string pool;
 };
 
-/// The caller took everything before `offset`.
+/// The caller received everything before `offset`.
 struct CallerConsumed
 {
     RequestId request;
     std::uint64_t offset = 0;
 };
 
-/// The caller's connection closed before its answer was whole.
+/// The caller's connection closed before its answer was complete.
 struct CallerGone
 {
     RequestId request;
@@ -104,7 +104,7 @@
                                  CallerGone, LinkUp, LinkDown, FromSidecar, DigestReceived,
                                  SettingsInForce, HostListRead, Tick, DrainRequested>;
 
-/// Carry `message`; the host opens the connection when there is none, and reports `LinkUp` or
+/// Send `message`. The host opens the connection when there is none, and reports `LinkUp` or
 /// `LinkDown`. Messages to one upstream keep their order.
 struct SendToSidecar
 {
@@ -118,7 +118,7 @@
     UpstreamId upstream = 0;
 };
 
-/// Close the connection; it went silent. A `LinkDown` is not reported for it.
+/// Close a connection that went silent or did not open in time. No `LinkDown` is reported for it.
 struct DropLink
 {
     UpstreamId upstream = 0;
@@ -141,20 +141,20 @@
     std::string position; ///< What the caller sends as `Last-Event-ID` to go on after this part.
 };
 
-/// The answer is whole.
+/// The answer is complete.
 struct AnswerEnd
 {
     RequestId request;
 };
 
-/// The final answer is a failure; after an `AnswerHead` it is told in the stream.
+/// The request failed; after an `AnswerHead` the failure is sent within the stream.
 struct AnswerFailure
 {
     RequestId request;
     Failure failure;
 };
 
-/// A ticket was given.
+/// A run-once ticket was issued.
 struct AnswerTicket
 {
     RequestId request;
@@ -194,25 +194,25 @@
     std::uint32_t bound = 0;
 };
 
-/// What a placement hook may look at.
+/// The input of a placement hook.
 struct PlacementView
 {
     const Pool &pool;
     const LoadTable &loads;
     ChatKey chat;
-    UpstreamId tokenHome; ///< 0 without a context token.
+    UpstreamId tokenUpstream; ///< 0 without a context token.
     /// Members not known to be leaving, down or already tried, in the order of `pool.members`.
     std::vector<UpstreamId> usable;
     std::string_view ownDataCenter;
     Instant now;
-    PoolLoad poolLoad; ///< Of `pool`, at most a few ticks old; empty when nothing was heard.
-    Fingerprint fingerprint = 0; ///< Of the request; 0 when only the chat is asked about.
+    PoolLoad poolLoad; ///< Load of `pool`, at most a few ticks old; empty without any report.
+    Fingerprint fingerprint = 0; ///< The request's; 0 when only the chat is looked up.
 };
 
 /// Orders the usable members, best first.
 using Placement = std::function<std::vector<UpstreamId>(const PlacementView &, Random &)>;
 
-/// What the host knows of itself.
+/// Identity of the router process.
 struct RouterIdentity
 {
     std::string name;
@@ -224,7 +224,7 @@
 struct RouterCounts
 {
     std::uint64_t received = 0;
-    std::uint64_t attempts = 0; ///< Submits sent; over `received` this is the amplification.
+    std::uint64_t attempts = 0; ///< Submits sent; divided by `received` it is the amplification.
     std::uint64_t retries = 0;
     std::uint64_t retriesDenied = 0; ///< Safe to retry, but the budget was spent.
     std::uint64_t failures = 0;
@@ -233,7 +233,7 @@
     std::uint64_t inFlight = 0;
 };
 
-/// The router's decisions. Not thread-safe: the host holds its lock around each call.
+/// The router's decision logic. Not thread-safe: the host holds its lock around each call.
 class RouterNode
 {
 public:
@@ -243,10 +243,10 @@
     RouterNode(const RouterNode &) = delete;
     auto operator=(const RouterNode &) -> RouterNode & = delete;
 
-    /// Takes one event and gives what is to be done, in order.
+    /// Handles one event and returns the actions to carry out, in order.
     [[nodiscard]] auto handle(RouterEvent event, Instant now) -> std::vector<RouterAction>;
 
-    /// The candidates that this chat's next request would see, best first; changes nothing.
+    /// The candidates for the next request of `chat`, best first; changes nothing.
     /// `chat` is the chat's name; `Terms::chat` of a `CallerRequest` is its `stableHash`.
     [[nodiscard]] auto explain(const std::string &team, const std::string &pool,
                                const std::string &chat, const std::string &contextToken,
@@ -257,7 +257,7 @@
     [[nodiscard]] auto draining() const -> bool;
     [[nodiscard]] auto loads() const -> const LoadTable &;
     [[nodiscard]] auto settings() const -> SettingsPtr;
-    /// Whether a request under way, or an answer just given, hangs on the link to `upstream`.
+    /// Whether a running request, or an answer just sent, depends on the link to `upstream`.
     [[nodiscard]] auto uses(UpstreamId upstream) const -> bool;
 
 private:
--- a/include/applehatch/core/wait-queue.h
+++ b/include/applehatch/core/wait-queue.h
@@ -1,4 +1,4 @@
-/// Requests that wait at a sidecar: by priority, then fair among customers, then by deadline.
+/// Queue of a sidecar's waiting requests: by priority, then fair among customers, then by deadline.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -29,22 +29,22 @@
 class WaitQueue
 {
 public:
-    /// With `FirstCome` a customer's requests keep their order of arrival.
+    /// Adds a request. With `FirstCome` a customer's requests keep their order of arrival.
     auto push(const Waiting &waiting, settings::QueueOrder order) -> void;
 
-    /// Takes the next request; none when nothing waits. Customers in `passedOver` keep their
-    /// place and are not taken from.
+    /// Removes and returns the next request; none when nothing waits. Requests of the customers in
+    /// `passedOver` are skipped and keep their place.
     auto pop(const std::set<std::string> &passedOver = {}) -> std::optional<std::uint64_t>;
 
     auto erase(std::uint64_t id) -> bool;
 
-    /// How many waiting requests would be taken before `waiting` if it were pushed now, or before
-    /// it when it waits already.
+    /// The number of waiting requests that are served before `waiting`, which may be in the queue
+    /// already or is counted as if it were pushed now.
     [[nodiscard]] auto ahead(const Waiting &waiting) const -> double;
 
     [[nodiscard]] auto size() const -> std::size_t { return places_.size(); }
 
-    /// Every waiting request, in no useful order.
+    /// Every waiting request, in no particular order.
     [[nodiscard]] auto all() const -> std::vector<Waiting>;
 
 private:
@@ -73,7 +73,7 @@
         Rank rank;
     };
 
-    auto forgetIdle(Class &held) -> void;
+    auto eraseIdleFlows(Class &priorityClass) -> void;
 
     std::map<int, Class, std::greater<>> classes_;
     std::unordered_map<std::uint64_t, Place> places_;
--- a/src/core/admission.cc
+++ b/src/core/admission.cc
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr double newestShare = 0.2;
-constexpr double mostTakenShare = 0.95; ///< Keeps a wait finite.
-constexpr Duration guessedServiceTime = std::chrono::seconds(1);
-constexpr Duration shortestRetryAfter = std::chrono::milliseconds(100);
-constexpr Duration longestRetryAfter = std::chrono::seconds(30);
+constexpr double smoothingFactor = 0.2;
+constexpr double maxHigherPriorityShare = 0.95; ///< Keeps the expected wait finite.
+constexpr Duration defaultServiceTime = std::chrono::seconds(1);
+constexpr Duration minRetryAfter = std::chrono::milliseconds(100);
+constexpr Duration maxRetryAfter = std::chrono::seconds(30);
 
 } // namespace
 
@@ -31,20 +31,20 @@
         return;
     }
     const auto difference = static_cast<double>((run - *mean_).count());
-    *mean_ += Duration(static_cast<Duration::rep>(newestShare * difference));
+    *mean_ += Duration(static_cast<Duration::rep>(smoothingFactor * difference));
 }
 
 auto expectedWait(const Backlog &backlog, Duration serviceTime) -> Duration
 {
-    const auto left = 1 - std::min(backlog.takenShare, mostTakenShare);
+    const auto left = 1 - std::min(backlog.higherPriorityShare, maxHigherPriorityShare);
     const auto turns = (backlog.ahead + 1) / std::max(1U, backlog.slots) / left;
     return Duration(static_cast<Duration::rep>(turns * static_cast<double>(serviceTime.count())));
 }
 
 auto retryAfterFor(const Backlog &backlog, std::optional<Duration> serviceTime) -> Duration
 {
-    const auto wait = expectedWait(backlog, serviceTime.value_or(guessedServiceTime));
-    return std::clamp(wait, shortestRetryAfter, longestRetryAfter);
+    const auto wait = expectedWait(backlog, serviceTime.value_or(defaultServiceTime));
+    return std::clamp(wait, minRetryAfter, maxRetryAfter);
 }
 
 } // namespace applehatch::core
--- a/src/core/arrival-rates.cc
+++ b/src/core/arrival-rates.cc
@@ -8,15 +8,16 @@
 
 namespace {
 
-/// Long enough to see some ten requests of a small engine, short enough to follow a surge.
-constexpr double memorySeconds = 5;
+/// Time constant of the decay. Long enough to see some ten requests of a small engine, short
+/// enough to follow a surge.
+constexpr double decaySeconds = 5;
 
 } // namespace
 
 auto ArrivalRates::record(int priority, Instant now) -> void
 {
     auto &rate = rates_[priority];
-    rate = {decayed(rate, now) + 1 / memorySeconds, now};
+    rate = {decayed(rate, now) + 1 / decaySeconds, now};
 }
 
 auto ArrivalRates::above(int priority, Instant now) const -> double
@@ -30,7 +31,7 @@
 auto ArrivalRates::decayed(const Rate &rate, Instant now) -> double
 {
     const auto age = std::chrono::duration<double>(now - rate.since).count();
-    return rate.perSecond * std::exp(-std::max(0.0, age) / memorySeconds);
+    return rate.perSecond * std::exp(-std::max(0.0, age) / decaySeconds);
 }
 
 } // namespace applehatch::core
--- a/src/core/chat-pointers.cc
+++ b/src/core/chat-pointers.cc
@@ -6,25 +6,25 @@
 
 namespace {
 
-constexpr Duration pointerLifetime = std::chrono::hours(6);
+constexpr Duration holderLifetime = std::chrono::hours(6);
 constexpr Duration warmLifetime = std::chrono::hours(6);
 
 } // namespace
 
 ChatPointers::ChatPointers(std::size_t capacity)
-    : moved_(capacity)
+    : holders_(capacity)
     , warm_(capacity)
 { }
 
 auto ChatPointers::moved(ChatKey chat, UpstreamId holder, Instant now) -> void
 {
     if (chat != 0 && holder != 0)
-        moved_.put(chat, holder, now + pointerLifetime);
+        holders_.put(chat, holder, now + holderLifetime);
 }
 
 auto ChatPointers::ran(ChatKey chat, Instant now) -> void
 {
-    moved_.erase(chat);
+    holders_.erase(chat);
     stored(chat, now);
 }
 
@@ -51,7 +51,7 @@
 
 auto ChatPointers::holder(ChatKey chat, Instant now) const -> UpstreamId
 {
-    const auto *holder = moved_.find(chat, now);
+    const auto *holder = holders_.find(chat, now);
     return holder == nullptr ? 0 : *holder;
 }
 
@@ -60,10 +60,10 @@
     return warm_.newest(count);
 }
 
-auto ChatPointers::expireSome(Instant now, std::size_t most) -> void
+auto ChatPointers::expireSome(Instant now, std::size_t maxChats) -> void
 {
-    moved_.expireSome(now, most);
-    warm_.expireSome(now, most);
+    holders_.expireSome(now, maxChats);
+    warm_.expireSome(now, maxChats);
 }
 
 } // namespace applehatch::core
--- a/src/core/crash-book.cc
+++ b/src/core/crash-book.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr std::size_t crashesToSuspect = 2;
+constexpr std::size_t suspectThreshold = 2;
 
-// A withdrawal is remembered this long so that late gossip cannot bring the notice back.
+// How long a withdrawal is kept as a tombstone, so that late gossip cannot restore the notice.
 constexpr Duration withdrawalLifetime = std::chrono::minutes(10);
 
 } // namespace
@@ -23,20 +23,20 @@
     const Key key{notice.fingerprint, notice.life.upstream, notice.life.incarnation,
                   notice.sequence};
     const auto withdrawn = notice.remaining <= Duration::zero();
-    const auto found = held_.find(key);
-    if (found != held_.end() && (found->second.withdrawn || !withdrawn))
+    const auto found = entries_.find(key);
+    if (found != entries_.end() && (found->second.withdrawn || !withdrawn))
         return false;
     const auto until = now + (withdrawn ? withdrawalLifetime : notice.remaining);
-    held_[key] = {until, withdrawn, ++changes_};
-    if (held_.size() > capacity_)
+    entries_[key] = {until, withdrawn, ++changes_};
+    if (entries_.size() > capacity_)
         dropOldest();
     return true;
 }
 
 auto CrashBook::clear(Fingerprint fingerprint, Instant now) -> void
 {
-    for (auto item = held_.lower_bound({fingerprint, 0, 0, 0});
-         item != held_.end() && item->first.fingerprint == fingerprint; ++item) {
+    for (auto item = entries_.lower_bound({fingerprint, 0, 0, 0});
+         item != entries_.end() && item->first.fingerprint == fingerprint; ++item) {
         if (!item->second.withdrawn)
             item->second = {now + withdrawalLifetime, true, ++changes_};
     }
@@ -45,8 +45,8 @@
 auto CrashBook::upstreams(Fingerprint fingerprint, Instant now) const -> std::vector<UpstreamId>
 {
     std::vector<UpstreamId> found;
-    for (auto item = held_.lower_bound({fingerprint, 0, 0, 0});
-         item != held_.end() && item->first.fingerprint == fingerprint; ++item) {
+    for (auto item = entries_.lower_bound({fingerprint, 0, 0, 0});
+         item != entries_.end() && item->first.fingerprint == fingerprint; ++item) {
         if (!item->second.withdrawn && item->second.until > now)
             found.push_back(item->first.upstream);
     }
@@ -56,8 +56,8 @@
 auto CrashBook::lastAt(Fingerprint fingerprint, Instant now) const -> std::optional<Instant>
 {
     std::optional<Instant> last;
-    for (auto item = held_.lower_bound({fingerprint, 0, 0, 0});
-         item != held_.end() && item->first.fingerprint == fingerprint; ++item) {
+    for (auto item = entries_.lower_bound({fingerprint, 0, 0, 0});
+         item != entries_.end() && item->first.fingerprint == fingerprint; ++item) {
         if (!item->second.withdrawn && item->second.until > now)
             last = std::max(last, std::optional(item->second.until - lifetime));
     }
@@ -71,18 +71,18 @@
 
 auto CrashBook::isSuspect(Fingerprint fingerprint, Instant now) const -> bool
 {
-    return crashes(fingerprint, now) >= crashesToSuspect;
+    return crashes(fingerprint, now) >= suspectThreshold;
 }
 
 auto CrashBook::notices(std::size_t count, Instant now) const -> std::vector<CrashNotice>
 {
     std::vector<std::pair<std::uint64_t, CrashNotice>> ordered;
-    for (const auto &[key, held] : held_) {
-        if (held.until <= now)
+    for (const auto &[key, entry] : entries_) {
+        if (entry.until <= now)
             continue;
-        const auto remaining = held.withdrawn ? Duration::zero() : Duration(held.until - now);
+        const auto remaining = entry.withdrawn ? Duration::zero() : Duration(entry.until - now);
         ordered.emplace_back(
-            held.order,
+            entry.order,
             CrashNotice{key.fingerprint, {key.upstream, key.incarnation}, key.sequence, remaining});
     }
     std::sort(ordered.begin(), ordered.end(),
@@ -98,14 +98,15 @@
 
 auto CrashBook::expire(Instant now) -> void
 {
-    std::erase_if(held_, [now](const auto &item) { return item.second.until <= now; });
+    std::erase_if(entries_, [now](const auto &item) { return item.second.until <= now; });
 }
 
 auto CrashBook::dropOldest() -> void
 {
-    held_.erase(std::min_element(held_.begin(), held_.end(), [](const auto &a, const auto &b) {
-        return a.second.order < b.second.order;
-    }));
+    entries_.erase(
+        std::min_element(entries_.begin(), entries_.end(), [](const auto &a, const auto &b) {
+            return a.second.order < b.second.order;
+        }));
 }
 
 } // namespace applehatch::core
--- a/src/core/host-list-pace.cc
+++ b/src/core/host-list-pace.cc
@@ -9,44 +9,45 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Spreads the first reads of processes that start together.
-constexpr Duration longestFirstWait = seconds(3);
-constexpr Duration shortestWait = seconds(2);
-/// One lost answer must not cost a whole wait; a service that is down is not called any faster.
-constexpr Duration shortestRetryWait = milliseconds(200);
-constexpr Duration longestRetryWait = milliseconds(1000);
-/// Of reads, about one in nine minutes.
-constexpr unsigned readsPerWhole = 220;
+/// Spreads the first reads of processes that start at the same time.
+constexpr Duration maxFirstWait = seconds(3);
+constexpr Duration minWait = seconds(2);
+/// Only the first failure is retried this soon: one lost answer must not cost a whole wait, and a
+/// service that is down is not called more often.
+constexpr Duration minRetryWait = milliseconds(200);
+constexpr Duration maxRetryWait = milliseconds(1000);
+/// One read in this many asks for the whole list, about one in nine minutes.
+constexpr unsigned readsPerFullRead = 220;
 
 } // namespace
 
 HostListPace::HostListPace(std::uint64_t seed)
     : random_(seed)
-    , readsSinceWhole_(static_cast<unsigned>(random_() % readsPerWhole))
+    , readsSinceFullRead_(static_cast<unsigned>(random_() % readsPerFullRead))
 { }
 
 auto HostListPace::wait() -> Duration
 {
     switch (last_) {
     case Last::None:
-        return between(Duration(0), longestFirstWait, random_);
+        return between(Duration(0), maxFirstWait, random_);
     case Last::FirstFailure:
-        return between(shortestRetryWait, longestRetryWait, random_);
+        return between(minRetryWait, maxRetryWait, random_);
     case Last::Read:
     case Last::Failure:
         break;
     }
-    return between(shortestWait, longestWait, random_);
+    return between(minWait, longestWait, random_);
 }
 
 auto HostListPace::wantsWhole() const -> bool
 {
-    return readsSinceWhole_ >= readsPerWhole;
+    return readsSinceFullRead_ >= readsPerFullRead;
 }
 
 auto HostListPace::succeeded() -> void
 {
-    readsSinceWhole_ = wantsWhole() ? 0 : readsSinceWhole_ + 1;
+    readsSinceFullRead_ = wantsWhole() ? 0 : readsSinceFullRead_ + 1;
     last_ = Last::Read;
 }
 
--- a/src/core/identity.cc
+++ b/src/core/identity.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The finalizer of splitmix64; it leaves 0 as it is.
+// The finalizer of splitmix64; it maps 0 to 0.
 auto mixed(std::uint64_t x) -> std::uint64_t
 {
     x = (x ^ (x >> 30U)) * 0xbf58476d1ce4e5b9U;
@@ -16,8 +16,9 @@
 
 } // namespace
 
-// XXH3 only adds the seed to inputs of a few bytes, so that neighbouring inputs under neighbouring
-// seeds collide: attempt 2 of one request would pass for attempt 1 of the next.
+// XXH3 only adds the seed to inputs of a few bytes. Without mixing the seed first, neighbouring
+// inputs under neighbouring seeds collide: attempt 2 of one request would be taken for attempt 1 of
+// the next.
 auto stableHash(std::string_view bytes, std::uint64_t seed) -> std::uint64_t
 {
     return XXH3_64bits_withSeed(bytes.data(), bytes.size(), mixed(seed));
--- a/src/core/load-table.cc
+++ b/src/core/load-table.cc
@@ -27,11 +27,11 @@
 
 } // namespace
 
-auto isNewer(const DigestEntry &candidate, const DigestEntry &held) -> bool
+auto isNewer(const DigestEntry &candidate, const DigestEntry &stored) -> bool
 {
-    if (candidate.incarnation != held.incarnation)
-        return candidate.incarnation > held.incarnation;
-    return candidate.version > held.version;
+    if (candidate.incarnation != stored.incarnation)
+        return candidate.incarnation > stored.incarnation;
+    return candidate.version > stored.version;
 }
 
 auto PoolLoad::mean() const -> double
@@ -58,10 +58,10 @@
     for (const auto &entry : entries) {
         if (entry.upstream == 0 || entry.age > lifetime_)
             continue;
-        const auto held = held_.find(entry.upstream);
-        if (held != held_.end() && !isNewer(entry, held->second.entry))
+        const auto stored = entries_.find(entry.upstream);
+        if (stored != entries_.end() && !isNewer(entry, stored->second.entry))
             continue;
-        held_[entry.upstream] = Held{entry, now - entry.age};
+        entries_[entry.upstream] = StoredEntry{entry, now - entry.age};
         ++taken;
     }
     return taken;
@@ -69,11 +69,11 @@
 
 auto LoadTable::find(UpstreamId upstream, Instant now) const -> std::optional<DigestEntry>
 {
-    const auto held = held_.find(upstream);
-    if (held == held_.end())
+    const auto stored = entries_.find(upstream);
+    if (stored == entries_.end())
         return std::nullopt;
-    auto entry = held->second.entry;
-    entry.age = now - held->second.madeAt;
+    auto entry = stored->second.entry;
+    entry.age = now - stored->second.madeAt;
     if (entry.age > lifetime_)
         return std::nullopt;
     return entry;
@@ -97,10 +97,10 @@
 auto LoadTable::freshest(std::size_t count, Instant now) const -> std::vector<DigestEntry>
 {
     std::vector<DigestEntry> entries;
-    entries.reserve(held_.size());
-    for (const auto &[id, held] : held_) {
-        auto entry = held.entry;
-        entry.age = now - held.madeAt;
+    entries.reserve(entries_.size());
+    for (const auto &[id, stored] : entries_) {
+        auto entry = stored.entry;
+        entry.age = now - stored.madeAt;
         if (entry.age <= lifetime_)
             entries.push_back(entry);
     }
@@ -123,7 +123,7 @@
 
 auto LoadTable::expire(Instant now) -> void
 {
-    std::erase_if(held_, [&](const auto &item) { return now - item.second.madeAt > lifetime_; });
+    std::erase_if(entries_, [&](const auto &item) { return now - item.second.madeAt > lifetime_; });
 }
 
 } // namespace applehatch::core
--- a/src/core/order-plan.cc
+++ b/src/core/order-plan.cc
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr int lifeBits = 24;
-constexpr std::uint64_t lifeMask = (std::uint64_t{1} << lifeBits) - 1;
+constexpr int incarnationBits = 24;
+constexpr std::uint64_t incarnationMask = (std::uint64_t{1} << incarnationBits) - 1;
 
-// An incarnation is in microseconds, whose lowest 24 bits come round every 17 s and tell nothing of
-// which life is the later one; in units of 2^19 us they come round after 101 days. A life gives
-// fewer orders than units pass, so its numbers stay below those of the next.
-constexpr int lifeUnitBits = 19;
+// An incarnation is in microseconds, whose lowest 24 bits wrap around every 17 s and do not show
+// which incarnation is later; in units of 2^19 us they wrap around after 101 days. An incarnation
+// issues fewer orders than units pass, so its numbers stay below those of the next one.
+constexpr int incarnationUnitBits = 19;
 
 auto contains(const std::vector<std::string> &models, const std::string &model) -> bool
 {
@@ -21,40 +21,40 @@
 
 } // namespace
 
-auto nextChange(const std::vector<std::string> &wanted, const std::vector<std::string> &held)
+auto nextChange(const std::vector<std::string> &wanted, const std::vector<std::string> &loaded)
     -> std::optional<PlannedChange>
 {
-    for (const auto &model : held) {
+    for (const auto &model : loaded) {
         if (!contains(wanted, model))
             return PlannedChange{ModelChange::Unload, model};
     }
     for (const auto &model : wanted) {
-        if (!contains(held, model))
+        if (!contains(loaded, model))
             return PlannedChange{ModelChange::Load, model};
     }
     return std::nullopt;
 }
 
 FencingNumbers::FencingNumbers(Incarnation incarnation)
-    : life_((incarnation >> lifeUnitBits) & lifeMask)
+    : incarnationPart_((incarnation >> incarnationUnitBits) & incarnationMask)
 { }
 
 auto FencingNumbers::observe(std::uint64_t seen) -> bool
 {
-    const auto known = std::max(seen_.value_or(seen), given_);
-    superseded_ = superseded_ || (seen > known && (seen & lifeMask) > life_);
+    const auto known = std::max(seen_.value_or(seen), issued_);
+    superseded_ = superseded_ || (seen > known && (seen & incarnationMask) > incarnationPart_);
     seen_ = std::max(known, seen);
     return !superseded_;
 }
 
 auto FencingNumbers::next(SettingsIndex index) -> std::optional<std::uint64_t>
 {
-    const auto highest = std::max(seen_.value_or(0), given_);
-    if (superseded_ || (highest >> lifeBits) > index)
+    const auto highest = std::max(seen_.value_or(0), issued_);
+    if (superseded_ || (highest >> incarnationBits) > index)
         return std::nullopt;
-    const auto fresh = (index << lifeBits) | life_;
-    given_ = std::max(fresh, highest + 1);
-    return given_;
+    const auto fresh = (index << incarnationBits) | incarnationPart_;
+    issued_ = std::max(fresh, highest + 1);
+    return issued_;
 }
 
 auto mayBeginRollout(const RolloutView &view) -> bool
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -12,25 +12,26 @@
 using namespace std::chrono_literals;
 using settings::Member;
 
-constexpr std::uint32_t ringPoints = 16; ///< Of each member, for the consistent-hashing baseline.
-constexpr Duration loadFreshness = 3s;   ///< Older loads say nothing about being clearly over.
-constexpr std::uint32_t overMargin = 2;  ///< Least excess over the bound that counts as clear.
+constexpr std::uint32_t ringPointsPerMember = 16; ///< For the consistent-hashing baseline.
+constexpr Duration maxLoadAge =
+    3s; ///< Older reports do not show that a member is well over its bound.
+constexpr std::uint32_t minExcess = 2; ///< Minimum excess for a member to be well over its bound.
 
 struct Ranked
 {
-    bool foreign = false; ///< In another data centre, where the pool prefers the own one.
-    double score = 0;     ///< Smaller is better.
+    bool otherDataCenter = false; ///< In another data centre, where the pool prefers the own.
+    double score = 0;             ///< Smaller is better.
     UpstreamId id = 0;
 
     auto operator<(const Ranked &other) const -> bool
     {
-        if (foreign != other.foreign)
-            return !foreign;
+        if (otherDataCenter != other.otherDataCenter)
+            return !otherDataCenter;
         return score != other.score ? score < other.score : id < other.id;
     }
 };
 
-// The finalizer of splitmix64; ids and keys are hashes already and need only be mixed.
+// The finalizer of splitmix64. Ids and keys are already hashes and only need mixing.
 auto mix(std::uint64_t id, std::uint64_t key) -> std::uint64_t
 {
     auto x = id ^ (key * 0x9e3779b97f4a7c15U);
@@ -45,8 +46,8 @@
     return (static_cast<double>(hash >> 11U) + 0.5) * scale;
 }
 
-// An exponential race: the member with slots s wins with probability s over the sum of slots, and
-// a member that joins or leaves moves only its own share of keys.
+// An exponential race: a member with s slots wins with probability s over the sum of slots, and a
+// member that joins or leaves moves only its own share of the keys.
 auto weightedScore(const Member &member, std::uint64_t key) -> double
 {
     return 1 / rendezvousScore(key, member.id, member.slots);
@@ -114,19 +115,20 @@
         std::swap(ids[0], ids[1]);
 }
 
-// The two candidates are drawn by the request itself. Were they drawn at random, a request that
-// crashes engines would reach a new one with each repeat until the crash is known everywhere. For
-// the same reason only these two are compared: once one of them is passed over, the order is the
-// one in which a second try after a crash goes.
+// The two candidates are derived from the request's fingerprint. If they were random, a request
+// that crashes engines would reach a new engine with each repeat until the crash is known
+// everywhere. For the same reason loads are compared only while both candidates are usable: once
+// one of them is passed over, the order is the rendezvous order that a second try after a crash
+// follows.
 auto placeWithoutChat(const PlacementView &view, Random &random) -> std::vector<UpstreamId>
 {
     const auto draw = view.fingerprint != 0 ? view.fingerprint : random();
     std::vector<Ranked> configured;
     configured.reserve(view.pool.members.size());
     for (const auto &member : view.pool.members) {
-        const auto foreign =
+        const auto otherDataCenter =
             view.pool.preferOwnDataCenter && member.dataCenter != view.ownDataCenter;
-        configured.push_back({foreign, weightedScore(member, draw), member.id});
+        configured.push_back({otherDataCenter, weightedScore(member, draw), member.id});
     }
     std::vector<Ranked> ranked;
     ranked.reserve(view.usable.size());
@@ -140,7 +142,7 @@
     auto ids = firstIds(ranked, placementDepth);
     const auto mayCompare = view.fingerprint == 0
         || (ids.size() > 1 && drawn.size() > 1 && ids[0] == drawn[0] && ids[1] == drawn[1]);
-    if (mayCompare && ids.size() > 1 && ranked[0].foreign == ranked[1].foreign)
+    if (mayCompare && ids.size() > 1 && ranked[0].otherDataCenter == ranked[1].otherDataCenter)
         putLesserLoadedFirst(view, ids);
     const auto compared = std::min<std::ptrdiff_t>(2, static_cast<std::ptrdiff_t>(ids.size()));
     std::stable_partition(ids.begin() + compared, ids.end(),
@@ -148,45 +150,49 @@
     return ids;
 }
 
-// A context token without a chat still names where the context is.
-auto putHomeFirst(const PlacementView &view, std::vector<UpstreamId> ids) -> std::vector<UpstreamId>
+// A context token names the upstream that holds the context even when the request has no chat.
+auto putTokenUpstreamFirst(const PlacementView &view, std::vector<UpstreamId> ids)
+    -> std::vector<UpstreamId>
 {
     const auto &usable = view.usable;
-    const auto home = view.tokenHome;
-    if (std::find(usable.begin(), usable.end(), home) == usable.end() || isClearlyOver(view, home))
+    const auto preferred = view.tokenUpstream;
+    if (std::find(usable.begin(), usable.end(), preferred) == usable.end()
+        || isClearlyOver(view, preferred))
         return ids;
-    std::erase(ids, home);
-    ids.insert(ids.begin(), home);
+    std::erase(ids, preferred);
+    ids.insert(ids.begin(), preferred);
     return ids;
 }
 
 } // namespace
 
-// A chat leaves its context only for a member that would refuse it even if the load heard of is
-// somewhat old: a needless move costs a cold start, a needless try costs one refusal.
+// A chat leaves the member with its context only when that member would refuse it even if the
+// reported load is somewhat old: a needless move costs a cold start, a needless try one refusal.
 auto isClearlyOver(const PlacementView &view, UpstreamId id) -> bool
 {
     const auto entry = view.loads.find(id, view.now);
-    if (!entry || entry->age > loadFreshness || view.poolLoad.slots == 0)
+    if (!entry || entry->age > maxLoadAge || view.poolLoad.slots == 0)
         return false;
     const auto bound = boundOf(view, *entry);
-    // Chats may wait at home, where their token says that it is: about a bound's worth of them.
-    const auto mayWait = id == view.tokenHome && view.pool.homeWait > Duration::zero();
-    const auto most = mayWait ? 2 * bound : bound;
-    return loadOf(*entry) >= most + std::max(overMargin, bound / 4);
+    // Chats may wait at the member that their token names: about as many as its bound allows to
+    // run.
+    const auto mayWait = id == view.tokenUpstream && view.pool.homeWait > Duration::zero();
+    const auto limit = mayWait ? 2 * bound : bound;
+    return loadOf(*entry) >= limit + std::max(minExcess, bound / 4);
 }
 
 auto placeByContext(const PlacementView &view, Random &random) -> std::vector<UpstreamId>
 {
     if (view.chat == 0)
-        return putHomeFirst(view, placeWithoutChat(view, random));
+        return putTokenUpstreamFirst(view, placeWithoutChat(view, random));
     std::vector<Ranked> ranked;
     ranked.reserve(view.usable.size());
     forEachUsable(view, [&](const Member &member) {
-        const auto isHome = member.id == view.tokenHome;
-        const auto foreign =
-            !isHome && view.pool.preferOwnDataCenter && member.dataCenter != view.ownDataCenter;
-        ranked.push_back({foreign, isHome ? -1.0 : weightedScore(member, view.chat), member.id});
+        const auto isTokenUpstream = member.id == view.tokenUpstream;
+        const auto otherDataCenter = !isTokenUpstream && view.pool.preferOwnDataCenter
+            && member.dataCenter != view.ownDataCenter;
+        ranked.push_back({otherDataCenter,
+                          isTokenUpstream ? -1.0 : weightedScore(member, view.chat), member.id});
     });
     auto ids = firstIds(ranked, placementDepth);
     std::stable_partition(ids.begin(), ids.end(),
@@ -224,10 +230,10 @@
     std::vector<Ranked> ranked;
     ranked.reserve(view.usable.size());
     for (const auto id : view.usable) {
-        // The clockwise distance to a member's nearest point gives the order of a walk round the
-        // ring without the ring being built.
+        // Sorting by the clockwise distance to a member's nearest point gives the order of a walk
+        // round the ring without building the ring.
         auto nearest = std::numeric_limits<std::uint64_t>::max();
-        for (std::uint32_t point = 0; point < ringPoints; ++point)
+        for (std::uint32_t point = 0; point < ringPointsPerMember; ++point)
             nearest = std::min(nearest, mix(id, point + 2) - start);
         ranked.push_back({false, unitInterval(nearest), id});
     }
@@ -241,8 +247,8 @@
 {
     Ranked best;
     for (const auto &member : pool.members) {
-        const auto foreign = pool.preferOwnDataCenter && member.dataCenter != ownDataCenter;
-        const Ranked ranked{foreign, weightedScore(member, chat), member.id};
+        const auto otherDataCenter = pool.preferOwnDataCenter && member.dataCenter != ownDataCenter;
+        const Ranked ranked{otherDataCenter, weightedScore(member, chat), member.id};
         if (best.id == 0 || ranked < best)
             best = ranked;
     }
--- a/src/core/rendezvous.cc
+++ b/src/core/rendezvous.cc
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t halfBytes = sizeof(std::uint64_t);
-constexpr int unitBits = 53; // What a double holds exactly.
+constexpr int unitBits = 53; // Integers of this size are exact in a double.
 constexpr double unit = 1.0 / static_cast<double>(std::uint64_t{1} << unitBits);
 
 // Uniform in (0, 1), never 0 or 1.
--- a/src/core/router-acknowledge.cc
+++ b/src/core/router-acknowledge.cc
@@ -1,4 +1,4 @@
-// Telling sidecars what callers have taken, which costs a message for each word.
+// Acknowledges to sidecars what callers have received. Each acknowledgement costs a message.
 #include "router-state.h"
 
 #include <algorithm>
@@ -11,29 +11,30 @@
     acknowledge({now_, exchange.upstream, exchange.origin, exchange.answer.consumed}, false);
 }
 
-// A sidecar forgets a whole answer by itself after a minute, and what is generated in a minute fits
-// its buffer. So the word that a caller has a short one is held back until its sidecar leaves: then
-// it waits for each such word, and one would see a planned stop last a minute longer.
+// A sidecar drops a complete answer by itself after a minute, and its buffer has room for what is
+// generated in a minute. So the acknowledgement of a short answer is deferred until the sidecar
+// leaves. A leaving sidecar waits for every acknowledgement; without it, a planned stop would take
+// a minute longer.
 auto RouterNode::State::acknowledgeEnd(const Exchange &exchange) -> void
 {
-    Taken taken{now_, exchange.upstream, exchange.origin, exchange.answer.received};
-    const auto isLong = taken.offset >= limits::acknowledgeStep;
-    if (isLong || draining_ || isKnownLeaving(taken.upstream))
-        acknowledge(taken, true);
+    AnswerProgress progress{now_, exchange.upstream, exchange.origin, exchange.answer.received};
+    const auto isLong = progress.offset >= limits::acknowledgeStep;
+    if (isLong || draining_ || isKnownLeaving(progress.upstream))
+        acknowledge(progress, true);
     else
-        withheld_.push_back(std::move(taken));
+        deferredAcknowledgements_.push_back(std::move(progress));
 }
 
-auto RouterNode::State::acknowledge(const Taken &taken, bool finished) -> void
+auto RouterNode::State::acknowledge(const AnswerProgress &progress, bool finished) -> void
 {
-    const auto link = links_.find(taken.upstream);
+    const auto link = links_.find(progress.upstream);
     if (link != links_.end() && link->second.phase == LinkPhase::Open)
-        send(taken.upstream, Acknowledge{taken.origin, taken.offset, finished});
+        send(progress.upstream, Acknowledge{progress.origin, progress.offset, finished});
 }
 
 auto RouterNode::State::isKnownLeaving(UpstreamId upstream) const -> bool
 {
-    if (!configured_.contains(upstream))
+    if (!configuredUpstreams_.contains(upstream))
         return true;
     const auto entry = loads_.find(upstream, now_);
     return entry && entry->state == UpstreamState::Leaving;
@@ -42,18 +43,19 @@
 auto RouterNode::State::releaseAcknowledgements(const std::function<bool(UpstreamId)> &isFor)
     -> void
 {
-    std::erase_if(withheld_, [&](const Taken &taken) {
-        const auto isDue = isFor(taken.upstream);
+    std::erase_if(deferredAcknowledgements_, [&](const AnswerProgress &progress) {
+        const auto isDue = isFor(progress.upstream);
         if (isDue)
-            acknowledge(taken, true);
+            acknowledge(progress, true);
         return isDue;
     });
 }
 
 auto RouterNode::State::expireAcknowledgements() -> void
 {
-    while (!withheld_.empty() && now_ - withheld_.front().at >= limits::answerMemory)
-        withheld_.pop_front();
+    while (!deferredAcknowledgements_.empty()
+           && now_ - deferredAcknowledgements_.front().at >= limits::answerLifetime)
+        deferredAcknowledgements_.pop_front();
 }
 
 } // namespace applehatch::core
--- a/src/core/router-answers.cc
+++ b/src/core/router-answers.cc
@@ -1,4 +1,4 @@
-// What sidecars answer, and how it reaches the caller.
+// Handles messages from sidecars and passes answers on to callers.
 #include "applehatch/core/token.h"
 
 #include "router-state.h"
@@ -30,7 +30,8 @@
     return otherwise;
 }
 
-// An upstream must not speak for us: a forged context token would send a chat astray.
+// An upstream must not set the router's own headers: a forged context token would send a chat to
+// the wrong upstream.
 auto withoutOwn(const Headers &headers) -> Headers
 {
     Headers kept;
@@ -73,10 +74,10 @@
 auto RouterNode::State::onMessage(UpstreamId upstream, Head &head) -> void
 {
     auto *exchange = findAt(upstream, head.request);
-    // A sidecar that restarted goes on with a stream without knowing the attempt.
+    // A sidecar that restarted continues a stream without knowing the attempt number.
     const auto isOurs = exchange != nullptr
         && (exchange->kind == ExchangeKind::Resume || exchange->attempt == head.attempt
-            || (head.attempt == 0 && exchange->askedAt));
+            || (head.attempt == 0 && exchange->lastResumeAt));
     if (!isOurs) {
         const auto named = byOrigin_.find(head.request);
         const auto *other = named == byOrigin_.end() ? nullptr : find(named->second);
@@ -84,8 +85,8 @@
             send(upstream, Revoke{head.request, head.attempt, links_[upstream].incarnation});
         return;
     }
-    exchange->heardAt = now_;
-    exchange->lostAt.reset();
+    exchange->lastActivityAt = now_;
+    exchange->linkLostAt.reset();
     if (head.attempt != 0)
         exchange->attempt = head.attempt;
     auto &answer = exchange->answer;
@@ -109,14 +110,14 @@
     auto *exchange = findAt(upstream, chunk.request);
     if (exchange == nullptr)
         return;
-    exchange->heardAt = now_;
-    exchange->lostAt.reset();
+    exchange->lastActivityAt = now_;
+    exchange->linkLostAt.reset();
     if (exchange->phase == ExchangePhase::Detached)
         return;
     const auto received = exchange->answer.received;
     if (!exchange->answer.headSent || chunk.offset > received) {
         exchange->answer.gap = true;
-        askAgain(*exchange);
+        resumeIfDue(*exchange);
         return;
     }
     const auto known = received - chunk.offset;
@@ -155,10 +156,10 @@
     auto *exchange = findAt(upstream, end.request);
     if (exchange == nullptr)
         return;
-    exchange->heardAt = now_;
-    exchange->lostAt.reset();
+    exchange->lastActivityAt = now_;
+    exchange->linkLostAt.reset();
     if (exchange->phase == ExchangePhase::Detached) {
-        // It may still be resumed at its sidecar, and there is nothing left to stop.
+        // The answer can still be resumed from its sidecar, and the run has ended.
         erase(*exchange);
         return;
     }
@@ -168,7 +169,7 @@
         return;
     }
     exchange->answer.gap = true;
-    askAgain(*exchange);
+    resumeIfDue(*exchange);
 }
 
 auto RouterNode::State::finish(Exchange &exchange) -> void
@@ -177,7 +178,7 @@
     const auto whole = answer.received == answer.end->length
         && (!answer.fromStart || answer.end->hash == 0 || answer.hash.value() == answer.end->hash);
     if (!whole) {
-        // One would notice a summary with a part missing or twice; the caller is told instead.
+        // The caller gets an error rather than a text with a part missing or repeated.
         fail(exchange,
              {ErrorKind::UpstreamFailed, Run::Ran, "the answer differs from what the upstream sent",
               std::nullopt});
@@ -192,18 +193,19 @@
     }
     actions_.emplace_back(AnswerEnd{exchange.request});
     exchange.phase = ExchangePhase::Finished;
-    exchange.leftAt = now_;
+    exchange.endedAt = now_;
     if (answer.consumed == answer.received) {
         acknowledgeEnd(exchange);
         erase(exchange);
     }
 }
 
-auto RouterNode::State::askAgain(Exchange &exchange) -> void
+auto RouterNode::State::resumeIfDue(Exchange &exchange) -> void
 {
-    const auto askedLately = exchange.askedAt && exchange.askedFrom == exchange.answer.received
-        && now_ - *exchange.askedAt < limits::askPeriod;
-    if (!askedLately)
+    const auto resumedRecently = exchange.lastResumeAt
+        && exchange.lastResumeOffset == exchange.answer.received
+        && now_ - *exchange.lastResumeAt < limits::resumeInterval;
+    if (!resumedRecently)
         resume(exchange);
 }
 
@@ -213,9 +215,10 @@
     auto *exchange = findAt(upstream, refusal.request);
     if (exchange == nullptr)
         return;
-    // A sidecar that knows nothing of a resumed request has no attempt to name.
+    // A sidecar that does not know a resumed request sends no attempt number.
     const auto isOurs = refusal.attempt == exchange->attempt
-        || exchange->kind == ExchangeKind::Resume || (refusal.attempt == 0 && exchange->askedAt);
+        || exchange->kind == ExchangeKind::Resume
+        || (refusal.attempt == 0 && exchange->lastResumeAt);
     if (!isOurs)
         return;
     if (exchange->phase == ExchangePhase::Detached) {
@@ -231,21 +234,21 @@
     const auto bound = exchange.boundTo != 0;
     checkClock(exchange, failure);
     if (failure.kind == ErrorKind::CrashSuspect)
-        crashes_.condemn(exchange.terms.fingerprint, now_);
+        crashes_.markSuspect(exchange.terms.fingerprint, now_);
     if (failure.kind == ErrorKind::StaleIncarnation) {
-        // The life that this was addressed to may have run it before it ended.
+        // The incarnation that the request was sent to may have run it before it ended.
         failure.run = Run::Unknown;
         if (exchange.terms.runOnce)
             failure.kind = ErrorKind::OutcomeUnknown;
     }
     if (refusal.attempt == 0 && exchange.resubmitted) {
-        // Said of the first submit perhaps; the second may run.
+        // The refusal may answer the first submit while the second one runs.
         failure.run = worse(failure.run, Run::Unknown);
     }
-    if (failure.kind == ErrorKind::AnswerLost && settle(exchange, failure.run))
+    if (failure.kind == ErrorKind::AnswerLost && resolveLostAnswer(exchange, failure.run))
         return;
     if (exchange.terms.runOnce)
-        exchange.run = failure.run; // All sends of a key meet at this sidecar.
+        exchange.run = failure.run; // This sidecar receives all sends of a key.
     if (failure.kind == ErrorKind::UpstreamCrashed && crash(exchange, failure))
         return;
     if (exchange.answer.headSent)
@@ -261,44 +264,47 @@
     exchange.run = worse(exchange.run, failure.run);
     exchange.lastKind = failure.kind;
     if (failure.kind == ErrorKind::UpstreamLeaving) {
-        // Without this each of its chats would cost a refusal and a retry until digests tell.
+        // Without this, each chat of this upstream would cost a refusal and a retry until digests
+        // report it as leaving.
         links_[exchange.upstream].leavingAt = now_;
         views_.clear();
     }
     if (failure.retryAfter)
         exchange.retryAfter =
             std::min(*failure.retryAfter, exchange.retryAfter.value_or(*failure.retryAfter));
-    if (exchange.home == 0 && exchange.terms.chat != 0)
-        exchange.home = exchange.upstream;
+    if (exchange.movedFrom == 0 && exchange.terms.chat != 0)
+        exchange.movedFrom = exchange.upstream;
     const auto redirects = refusal.redirect != 0 && !exchange.redirected;
     if (redirects) {
         exchange.redirected = true;
         exchange.redirect = refusal.redirect;
     }
     leaveUpstream(exchange, std::string(answerFor(failure.kind).name));
-    // The next try after a full upstream goes where there is room, or asks to wait; it is always
-    // allowed, else a sudden rush would be refused while upstreams stand idle. It is still charged,
-    // so that hops and retries together stay a share of the requests. A mere guess has to pay.
+    // The next try after a full upstream goes to one with spare capacity, or asks to wait. It is
+    // always allowed, otherwise a sudden burst would be refused while upstreams are idle. It is
+    // still charged, so that hops and retries together stay a share of the requests. When the spare
+    // capacity is unknown, the try counts as a retry, which the budget may deny.
     const auto hops = failure.kind == ErrorKind::Overloaded && !exchange.mayWait
-        && roomElsewhere(exchange) != Room::Possible;
+        && spareCapacityElsewhere(exchange) != SpareCapacity::Unknown;
     const auto cost = hops ? AttemptCost::Hop : AttemptCost::OneRetry;
     advance(exchange, redirects ? AttemptCost::Free : cost);
 }
 
-// A host whose clock stood still, as under a frozen virtual machine, reckons deadlines wrongly
-// until it reads the sidecar's clock again. One would see requests refused as late that had time
-// left.
+// A host whose clock stopped, for example while its virtual machine was frozen, converts deadlines
+// wrongly until it reads the sidecar's clock again. Requests with time left would then be refused
+// as too late.
 auto RouterNode::State::checkClock(const Exchange &exchange, const Failure &failure) -> void
 {
-    const auto isEarly = exchange.deadline - now_ > links::clockDoubt;
+    const auto isEarly = exchange.deadline - now_ > links::maxClockSkew;
     auto &link = links_[exchange.upstream];
     if (failure.kind == ErrorKind::DeadlineExceeded && isEarly && link.phase == LinkPhase::Open)
         probe(exchange.upstream, link);
 }
 
-// A sidecar that does not know a request was perhaps never reached by its submit. Revoking that
-// attempt settles it: either it is barred and can be submitted again, or it may have run.
-auto RouterNode::State::settle(Exchange &exchange, Run run) -> bool
+// When a sidecar does not know a request, its submit may never have arrived. Revoking the attempt
+// resolves this: either the sidecar rejects that attempt from now on and the request can be
+// submitted again, or it may have run. Returns true when the refusal needs no further handling.
+auto RouterNode::State::resolveLostAnswer(Exchange &exchange, Run run) -> bool
 {
     if (exchange.kind != ExchangeKind::Request || exchange.answer.headSent || exchange.resubmitted)
         return false;
@@ -306,8 +312,8 @@
         resubmit(exchange);
         return true;
     }
-    if (!exchange.settling) {
-        exchange.settling = true;
+    if (!exchange.awaitingRevoked) {
+        exchange.awaitingRevoked = true;
         revoke(exchange);
     }
     return true;
@@ -316,10 +322,10 @@
 auto RouterNode::State::onMessage(UpstreamId upstream, Revoked &revoked) -> void
 {
     auto *exchange = findAt(upstream, revoked.request);
-    if (exchange == nullptr || !exchange->settling || exchange->attempt != revoked.attempt)
+    if (exchange == nullptr || !exchange->awaitingRevoked || exchange->attempt != revoked.attempt)
         return;
-    exchange->heardAt = now_;
-    exchange->settling = false;
+    exchange->lastActivityAt = now_;
+    exchange->awaitingRevoked = false;
     if (revoked.run == Run::NotRun) {
         resubmit(*exchange);
         return;
@@ -331,7 +337,8 @@
     refuse(*exchange, refusal);
 }
 
-// True when the exchange is over: a request that saw two upstreams die is not given a third.
+// Returns true when the exchange ended: a request that was running when two upstreams crashed is
+// not sent to a third.
 auto RouterNode::State::crash(Exchange &exchange, const Failure &failure) -> bool
 {
     exchange.crashedAt.push_back(exchange.upstream);
@@ -340,13 +347,13 @@
                      0,
                      CrashTable::lifetime}},
                    now_);
-    const auto lives = crashes_.livesOf(exchange.terms.fingerprint, now_);
-    const auto times = std::max(exchange.crashedAt.size(), lives.size());
-    if (times < CrashTable::suspectAt)
+    const auto incarnations = crashes_.incarnationsOf(exchange.terms.fingerprint, now_);
+    const auto times = std::max(exchange.crashedAt.size(), incarnations.size());
+    if (times < CrashTable::suspectThreshold)
         return false;
     fail(exchange,
          {ErrorKind::CrashSuspect, worse(failure.run, Run::Unknown),
-          "it was running when two upstreams died", std::nullopt});
+          "the request was running when two upstreams crashed", std::nullopt});
     return true;
 }
 
--- a/src/core/router-attempts.cc
+++ b/src/core/router-attempts.cc
@@ -1,4 +1,4 @@
-// The attempts of one request: where it goes, what is sent, and when it is given up.
+// The attempts of one request: choosing an upstream, submitting, retrying and giving up.
 #include "router-state.h"
 
 #include <algorithm>
@@ -7,27 +7,27 @@
 
 namespace {
 
-// An engine keeps a stream when only its sidecar restarts, and the next life can go on with it.
-auto engineMayHold(const Exchange &exchange) -> bool
+// An engine keeps a stream when only its sidecar restarts; the next incarnation can continue it.
+auto engineMayKeepStream(const Exchange &exchange) -> bool
 {
     return exchange.answer.headSent && exchange.answer.stream && !exchange.terms.runOnce
         && exchange.pool.pool->kind == settings::PoolKind::Model;
 }
 
-// An end may overtake its head. Kept for the next attempt, it would cut off that one's answer, or
-// fail it as not whole.
-auto forgetAnswer(Exchange &exchange) -> void
+// An end may arrive before its head. If it were kept for the next attempt, it would cut off that
+// attempt's answer, or fail it as incomplete.
+auto resetAnswer(Exchange &exchange) -> void
 {
     exchange.answer = Answer();
-    exchange.askedAt.reset();
+    exchange.lastResumeAt.reset();
 }
 
 } // namespace
 
 auto RouterNode::State::advance(Exchange &exchange, AttemptCost cost) -> void
 {
-    if (exchange.attempt >= limits::attempts || exchange.hops >= limits::hops) {
-        giveUp(exchange, ErrorKind::Overloaded, "no upstream took it");
+    if (exchange.attempt >= limits::maxAttempts || exchange.hops >= limits::maxHops) {
+        giveUp(exchange, ErrorKind::Overloaded, "no upstream accepted the request");
         return;
     }
     // The settings may have changed since the last attempt.
@@ -49,11 +49,11 @@
     exchange.upstream = choice->upstream;
     exchange.cause = std::move(choice->cause);
     exchange.phase = ExchangePhase::Waiting;
-    exchange.lostAt.reset();
+    exchange.linkLostAt.reset();
     writeDecision(exchange);
     auto &link = links_[exchange.upstream];
     if (!isOutstanding(link))
-        link.quietSince = listened_;
+        link.quietSince = listeningNow_;
     link.exchanges.insert(exchange.request);
     if (link.phase == LinkPhase::Open)
         serve(exchange);
@@ -83,7 +83,7 @@
 auto RouterNode::State::giveUp(Exchange &exchange, ErrorKind kind, std::string detail) -> void
 {
     Failure failure{kind, exchange.run, std::move(detail), std::nullopt};
-    failure.retryAfter = exchange.retryAfter.value_or(limits::retryEstimate);
+    failure.retryAfter = exchange.retryAfter.value_or(limits::defaultRetryAfter);
     if (exchange.lastKind) {
         failure.kind = *exchange.lastKind;
         if (!answerFor(failure.kind).mayRepeat)
@@ -108,25 +108,25 @@
         submit(exchange, link);
         return;
     }
-    if (exchange.submittedTo != link.incarnation && !engineMayHold(exchange)) {
-        lose(exchange, "its sidecar restarted");
+    if (exchange.submittedTo != link.incarnation && !engineMayKeepStream(exchange)) {
+        handleLoss(exchange, "the upstream's sidecar restarted");
         return;
     }
-    // Not yet well: a link that keeps failing before it says anything must not be reopened without
-    // a pause.
+    // `linkLostAt` stays set until a message arrives: a link that keeps failing before it delivers
+    // anything must not be reopened without a pause.
     exchange.submittedTo = link.incarnation;
     resume(exchange);
 }
 
 auto RouterNode::State::resubmit(Exchange &exchange) -> void
 {
-    if (exchange.resubmitted || exchange.attempt >= limits::attempts) {
-        giveUp(exchange, ErrorKind::NoUpstream, "it was not delivered");
+    if (exchange.resubmitted || exchange.attempt >= limits::maxAttempts) {
+        giveUp(exchange, ErrorKind::NoUpstream, "the request could not be delivered");
         return;
     }
     exchange.resubmitted = true;
-    exchange.settling = false;
-    forgetAnswer(exchange);
+    exchange.awaitingRevoked = false;
+    resetAnswer(exchange);
     exchange.phase = ExchangePhase::Waiting;
     serve(exchange);
 }
@@ -134,7 +134,7 @@
 auto RouterNode::State::submit(Exchange &exchange, Link &link) -> void
 {
     auto notAfter = link.onSidecarClock(exchange.deadline);
-    if (exchange.boundLife != 0 && exchange.boundLife != link.incarnation) {
+    if (exchange.boundIncarnation != 0 && exchange.boundIncarnation != link.incarnation) {
         fail(exchange,
              {ErrorKind::OutcomeUnknown, Run::Unknown, "the ticket's sidecar restarted",
               std::nullopt});
@@ -155,7 +155,7 @@
     ++exchange.attempt;
     exchange.phase = ExchangePhase::Submitted;
     exchange.submittedTo = link.incarnation;
-    exchange.heardAt = now_;
+    exchange.lastActivityAt = now_;
     Submit message{exchange.origin,
                    exchange.attempt,
                    link.incarnation,
@@ -164,19 +164,19 @@
                    exchange.call,
                    0,
                    recentLoads()};
-    exchange.mayWait = exchange.boundTo != 0 || exchange.attempt == limits::attempts
-        || roomElsewhere(exchange) == Room::None;
+    exchange.mayWait = exchange.boundTo != 0 || exchange.attempt == limits::maxAttempts
+        || spareCapacityElsewhere(exchange) == SpareCapacity::None;
     message.mayWait = exchange.mayWait;
-    if (exchange.cause != "redirect" && exchange.home != exchange.upstream)
-        message.movedFrom = exchange.home;
+    if (exchange.cause != "redirect" && exchange.movedFrom != exchange.upstream)
+        message.movedFrom = exchange.movedFrom;
     send(exchange.upstream, std::move(message));
 }
 
 auto RouterNode::State::resume(Exchange &exchange) -> void
 {
-    exchange.askedAt = now_;
-    exchange.askedFrom = exchange.answer.received;
-    exchange.heardAt = now_;
+    exchange.lastResumeAt = now_;
+    exchange.lastResumeOffset = exchange.answer.received;
+    exchange.lastActivityAt = now_;
     send(exchange.upstream,
          Resume{exchange.origin, exchange.terms.team + '/' + exchange.terms.customer,
                 exchange.answer.received});
@@ -190,9 +190,9 @@
     exchange.tried.push_back(exchange.upstream);
     exchange.passedOver.push_back({exchange.upstream, std::move(reason)});
     exchange.upstream = 0;
-    exchange.settling = false;
+    exchange.awaitingRevoked = false;
     exchange.resubmitted = false;
-    forgetAnswer(exchange);
+    resetAnswer(exchange);
 }
 
 auto RouterNode::State::revoke(Exchange &exchange) -> void
@@ -205,11 +205,11 @@
     const Revoke message{exchange.origin, exchange.attempt, exchange.submittedTo};
     if (link.phase == LinkPhase::Open)
         send(exchange.upstream, message);
-    else if (link.unwanted.size() < links::unwantedLimit)
-        link.unwanted.push_back(message);
+    else if (link.pendingRevokes.size() < links::maxPendingRevokes)
+        link.pendingRevokes.push_back(message);
 }
 
-auto RouterNode::State::lose(Exchange &exchange, const std::string &why) -> void
+auto RouterNode::State::handleLoss(Exchange &exchange, const std::string &why) -> void
 {
     revoke(exchange);
     if (exchange.terms.runOnce) {
@@ -236,7 +236,7 @@
     failure.run = worse(failure.run, exchange.run);
     const auto mayComeBack = answerFor(failure.kind).mayRepeat && failure.run == Run::NotRun;
     if (mayComeBack && !failure.retryAfter)
-        failure.retryAfter = exchange.retryAfter.value_or(limits::retryEstimate);
+        failure.retryAfter = exchange.retryAfter.value_or(limits::defaultRetryAfter);
     LogLine line("answer-failed");
     line.add("request", exchange.request)
         .add("kind", answerFor(failure.kind).name)
@@ -244,10 +244,10 @@
         .add("attempts", exchange.attempt)
         .add("upstream", exchange.upstream == 0 ? "" : upstreamName(exchange.upstream))
         .add("received", static_cast<std::int64_t>(exchange.answer.received))
-        .add("heard_ago_us", Duration(now_ - exchange.heardAt).count())
+        .add("heard_ago_us", Duration(now_ - exchange.lastActivityAt).count())
         .add("detail", failure.detail);
-    if (exchange.lostAt)
-        line.add("lost_ago_us", Duration(listened_ - *exchange.lostAt).count());
+    if (exchange.linkLostAt)
+        line.add("lost_ago_us", Duration(listeningNow_ - *exchange.linkLostAt).count());
     actions_.emplace_back(AnswerFailure{exchange.request, std::move(failure)});
     actions_.emplace_back(WriteLog{line});
     erase(exchange);
@@ -261,7 +261,7 @@
     const auto origin = byOrigin_.find(exchange.origin);
     if (origin != byOrigin_.end() && origin->second == exchange.request)
         byOrigin_.erase(origin);
-    // A copy: the argument may be a part of what is erased.
+    // A copy, since `exchange` is destroyed by the erase.
     const auto request = exchange.request;
     exchanges_.erase(request);
 }
--- a/src/core/router-body.cc
+++ b/src/core/router-body.cc
@@ -44,8 +44,8 @@
         eventEnded_ = false;
     };
     for (const auto c : data) {
-        // A line may end in CR, LF or CR LF; a CR decides only once the next byte is seen, so that
-        // an event is never cut between the two.
+        // A line may end in CR, LF or CR LF. After a CR the event ends only once the next byte is
+        // known, so that an event is never cut between CR and LF.
         const auto secondOfPair = afterReturn_ && c == '\n';
         if (eventEnded_ && !secondOfPair)
             emit();
--- a/src/core/router-body.h
+++ b/src/core/router-body.h
@@ -1,4 +1,4 @@
-/// A caller's answer on its way through: hashing, and splitting a stream into whole events.
+/// Processing of an answer's body: hashing, and splitting a stream into whole events.
 #pragma once
 
 #include <cstdint>
@@ -33,10 +33,10 @@
 class EventSplitter
 {
 public:
-    /// Takes the next bytes and gives the events that they complete, blank lines included.
+    /// Appends the next bytes and returns the events that they complete, blank lines included.
     [[nodiscard]] auto append(std::string_view data) -> std::vector<std::string>;
 
-    /// The bytes after the last whole event; they are no longer held.
+    /// Removes and returns the bytes after the last whole event.
     [[nodiscard]] auto takeRest() -> std::string;
 
 private:
--- a/src/core/router-budget.cc
+++ b/src/core/router-budget.cc
@@ -8,24 +8,25 @@
 {
     const std::chrono::duration<double> passed = std::max(now - refilledAt_, Duration::zero());
     refilledAt_ = now;
-    // The floor stops at the starting credit: a router idle for an hour has not earned a burst.
-    if (tokens_ < start)
-        tokens_ = std::min(start, tokens_ + passed.count() * floorPerSecond);
+    // The time-based refill stops at the initial credit: a router that was idle for an hour has not
+    // earned a burst of retries.
+    if (tokens_ < initialTokens)
+        tokens_ = std::min(initialTokens, tokens_ + passed.count() * minTokensPerSecond);
 }
 
 auto RetryBudget::earn(double share, Instant now) -> void
 {
     refill(now);
-    tokens_ = std::min(burst, tokens_ + share);
+    tokens_ = std::min(maxTokens, tokens_ + share);
 }
 
 auto RetryBudget::borrow(Instant now) -> void
 {
     refill(now);
-    tokens_ = std::max(-burst, tokens_ - 1);
+    tokens_ = std::max(-maxTokens, tokens_ - 1);
 }
 
-auto RetryBudget::hasOne(Instant now) -> bool
+auto RetryBudget::canSpend(Instant now) -> bool
 {
     refill(now);
     return tokens_ >= 1;
@@ -33,7 +34,7 @@
 
 auto RetryBudget::spend(Instant now) -> bool
 {
-    if (!hasOne(now))
+    if (!canSpend(now))
         return false;
     tokens_ -= 1;
     return true;
--- a/src/core/router-budget.h
+++ b/src/core/router-budget.h
@@ -1,4 +1,4 @@
-/// Limits on what retries may add to the load.
+/// Limits the load that retries add.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -8,33 +8,35 @@
 
 namespace applehatch::core {
 
-/// Token bucket that holds retries to a share of recent requests.
+/// Token bucket that limits retries to a share of recent requests.
 ///
-/// Without it, a pool that fails most requests would get each of them several times over, which
-/// keeps it failing; one would notice attempts rise as answers fall.
+/// Without it, a pool that fails most requests would receive each of them several times, which
+/// keeps it failing: attempts rise while successful answers fall.
 class RetryBudget
 {
 public:
-    static constexpr double burst = 20;          ///< Most retries saved up.
-    static constexpr double start = 3;           ///< Lets a fresh router retry its first requests.
-    static constexpr double floorPerSecond = .5; ///< Keeps a quiet router able to retry.
+    static constexpr double maxTokens = 20;    ///< Maximum number of retries saved up.
+    static constexpr double initialTokens = 3; ///< Lets a new router retry its first requests.
+    static constexpr double minTokensPerSecond =
+        .5; ///< Refill that lets a router with few requests retry.
 
-    /// A request arrived; it earns `share` of a retry.
+    /// Adds `share` of a retry for a request that arrived.
     auto earn(double share, Instant now) -> void;
 
-    /// Takes one retry whether or not one is left; what is owed is paid before the next `spend`.
+    /// Takes one retry whether or not one is left. The debt must be refilled before `spend`
+    /// succeeds again.
     auto borrow(Instant now) -> void;
 
     /// Whether `spend` would succeed.
-    [[nodiscard]] auto hasOne(Instant now) -> bool;
+    [[nodiscard]] auto canSpend(Instant now) -> bool;
 
-    /// Takes one retry; false when the budget is spent.
+    /// Takes one retry; returns false when the budget is spent.
     [[nodiscard]] auto spend(Instant now) -> bool;
 
 private:
     auto refill(Instant now) -> void;
 
-    double tokens_ = start;
+    double tokens_ = initialTokens;
     Instant refilledAt_{};
 };
 
--- a/src/core/router-choice.cc
+++ b/src/core/router-choice.cc
@@ -1,4 +1,4 @@
-// Where a request goes next.
+// Choice of the next upstream for a request.
 #include "applehatch/core/placement.h"
 
 #include "router-state.h"
@@ -23,12 +23,12 @@
     return left;
 }
 
-// Finding a chat's home is a walk over the pool; with everybody usable and nobody full there is
-// nothing to find.
-auto mayHaveLeftHome(const PlacementView &view, const std::vector<UpstreamId> &order) -> bool
+// Finding a chat's owner visits every member of the pool. It is skipped when every member is usable
+// and none is full, since the chat then goes to its owner.
+auto mayHaveLeftOwner(const PlacementView &view, const std::vector<UpstreamId> &order) -> bool
 {
-    if (view.tokenHome != 0)
-        return view.tokenHome != order.front();
+    if (view.tokenUpstream != 0)
+        return view.tokenUpstream != order.front();
     return view.chat != 0
         && (view.usable.size() < view.pool.members.size()
             || std::any_of(order.begin(), order.end(),
@@ -58,14 +58,14 @@
 auto RouterNode::State::crashedUpstreams(const Exchange &exchange) const -> std::vector<UpstreamId>
 {
     auto crashed = exchange.crashedAt;
-    for (const auto &life : crashes_.livesOf(exchange.terms.fingerprint, now_))
+    for (const auto &life : crashes_.incarnationsOf(exchange.terms.fingerprint, now_))
         crashed.push_back(life.upstream);
     return crashed;
 }
 
-// The order depends on the request alone, so its copies that arrive through other routers meet at
-// the same second upstream and cannot take down one upstream each. Whether that one is up plays no
-// part: routers differ over it for a moment, and each would then name a second upstream of its own.
+// The order depends on the request alone, so copies of it that arrive through other routers go to
+// the same second upstream and cannot crash one upstream each. Whether that upstream is up is
+// ignored: routers disagree on it for a moment, and each would choose a different second upstream.
 auto RouterNode::State::chooseAfterCrash(const Exchange &exchange,
                                          const std::vector<UpstreamId> &crashed)
     -> std::optional<Choice>
@@ -75,13 +75,13 @@
         if (contains(crashed, id) || isUnlisted(*exchange.pool.member(id)))
             continue;
         const auto mayTry =
-            !contains(exchange.tried, id) && contains(poolView(exchange.pool).doubtful, id);
+            !contains(exchange.tried, id) && contains(poolView(exchange.pool).fallback, id);
         return mayTry ? std::optional(Choice{id, "after-crash"}) : std::nullopt;
     }
     return std::nullopt;
 }
 
-// The platform no longer lists its host: it may be gone for good.
+// Whether the platform no longer lists the member's host, which may be removed permanently.
 auto RouterNode::State::isUnlisted(const settings::Member &member) const -> bool
 {
     return !hosts_.empty() && !hosts_.contains(member.sidecar.ip);
@@ -91,15 +91,15 @@
 {
     const auto &view = poolView(exchange.pool);
     auto usable = without(view.usable, exchange.tried);
-    addContestedHome(exchange, usable);
+    addContestedTokenUpstream(exchange, usable);
     if (usable.empty())
-        usable = without(view.doubtful, exchange.tried);
+        usable = without(view.fallback, exchange.tried);
     if (usable.empty())
         return std::nullopt;
     const PlacementView asked{*exchange.pool.pool,
                               loads_,
                               exchange.terms.chat,
-                              exchange.tokenHome,
+                              exchange.tokenUpstream,
                               std::move(usable),
                               identity_.dataCenter,
                               now_,
@@ -109,51 +109,52 @@
     if (order.empty())
         return std::nullopt;
     const auto chosen = order.front();
-    if (exchange.hops == 0 && mayHaveLeftHome(asked, order))
-        noteHome(exchange, asked, chosen);
-    if (chosen == exchange.tokenHome)
+    if (exchange.hops == 0 && mayHaveLeftOwner(asked, order))
+        recordPassedOverOwner(exchange, asked, chosen);
+    if (chosen == exchange.tokenUpstream)
         return Choice{chosen, "token"};
     return Choice{chosen, exchange.terms.chat == 0 ? "least-of-two" : "hash"};
 }
 
-// Says in the log why a chat did not go home, and lets a home that is merely full learn where its
-// chat went.
-auto RouterNode::State::noteHome(Exchange &exchange, const PlacementView &view, UpstreamId chosen)
-    -> void
+// Records for the log why a chat did not go to its owner. An owner that is only over its bound is
+// also recorded in `movedFrom`, so that it learns where its chat went.
+auto RouterNode::State::recordPassedOverOwner(Exchange &exchange, const PlacementView &view,
+                                              UpstreamId chosen) -> void
 {
     const auto *member = exchange.pool.member(
-        view.tokenHome != 0 ? view.tokenHome : chatHome(view.pool, view.chat, view.ownDataCenter));
+        view.tokenUpstream != 0 ? view.tokenUpstream
+                                : chatHome(view.pool, view.chat, view.ownDataCenter));
     if (member == nullptr || member->id == chosen)
         return;
     auto reason = std::string(obstacle(*member, true, now_));
     if (reason.empty() && isClearlyOver(view, member->id)) {
         reason = "over-bound";
-        exchange.home = member->id;
+        exchange.movedFrom = member->id;
     }
     exchange.passedOver.push_back({member->id, reason.empty() ? "ranked-lower" : reason});
 }
 
-auto RouterNode::State::roomElsewhere(const Exchange &exchange) const -> Room
+auto RouterNode::State::spareCapacityElsewhere(const Exchange &exchange) const -> SpareCapacity
 {
     const auto &pool = *exchange.pool.pool;
     const auto poolLoad = loads_.poolLoad(pool, now_);
-    auto room = Room::None;
+    auto capacity = SpareCapacity::None;
     for (const auto &member : pool.members) {
         if (member.id == exchange.upstream || contains(exchange.tried, member.id)
             || !obstacle(member, true, now_).empty())
             continue;
         const auto entry = loads_.find(member.id, now_);
         if (!entry) {
-            room = Room::Possible;
+            capacity = SpareCapacity::Unknown;
             continue;
         }
-        // An upstream below its bound still refuses once its queue is full.
-        const auto most = std::min(loadBound(poolLoad, entry->slots, pool.loadMultiple),
-                                   entry->slots + pool.queueLimit);
-        if (entry->running + entry->waiting < most)
-            return Room::Known;
+        // An upstream below its load bound still refuses requests when its queue is full.
+        const auto limit = std::min(loadBound(poolLoad, entry->slots, pool.loadMultiple),
+                                    entry->slots + pool.queueLimit);
+        if (entry->running + entry->waiting < limit)
+            return SpareCapacity::Available;
     }
-    return room;
+    return capacity;
 }
 
 auto RouterNode::State::poolView(const PoolRef &pool) -> const PoolView &
@@ -173,43 +174,44 @@
     for (const auto &member : pool.pool->members) {
         if (!obstacle(member, false, now).empty())
             continue;
-        view.doubtful.push_back(member.id);
+        view.fallback.push_back(member.id);
         if (obstacle(member, true, now).empty())
             view.usable.push_back(member.id);
     }
     return view;
 }
 
-// Weak evidence is what may be wrong on our side: the lagging host list, and a connection that
-// failed. It never leaves a request without any candidate.
-auto RouterNode::State::obstacle(const settings::Member &member, bool weakToo, Instant now) const
-    -> std::string_view
+// Why `member` should be passed over; empty when it is usable. Weak evidence may be wrong on this
+// router's side: the delayed host list, and a failed connection. It never leaves a request without
+// any candidate.
+auto RouterNode::State::obstacle(const settings::Member &member, bool includeWeak,
+                                 Instant now) const -> std::string_view
 {
     const auto host = hosts_.find(member.sidecar.ip);
     if (host != hosts_.end() && host->second == HostState::Leaving)
         return "leaving-host";
-    if (const auto own = ownObstacle(member, now); !own.empty() || !weakToo)
+    if (const auto own = ownObstacle(member, now); !own.empty() || !includeWeak)
         return own;
     if (isUnlisted(member))
         return "not-listed";
     const auto link = links_.find(member.id);
     if (link != links_.end() && link->second.failedAt
-        && now - *link->second.failedAt < links::failureMemory)
+        && now - *link->second.failedAt < links::failureLifetime)
         return "link-down";
     return {};
 }
 
-// What the upstream itself has said, to this router or in a digest.
+// The obstacle that the upstream itself reported, to this router or in a digest.
 auto RouterNode::State::ownObstacle(const settings::Member &member, Instant now) const
     -> std::string_view
 {
     const auto entry = loads_.find(member.id, now);
     const auto link = links_.find(member.id);
-    // A pool that is rolled brings each member back within seconds. Were the refusal of its last
-    // life still believed, two members at once would be passed over, and a caller be told that no
-    // upstream is left.
+    // During a rollout each member comes back within seconds. If the refusal of its last
+    // incarnation still counted, two members at once would be passed over, and a caller would get
+    // the error that no upstream is left.
     if (link != links_.end() && link->second.leavingAt
-        && now - *link->second.leavingAt < links::leavingMemory
+        && now - *link->second.leavingAt < links::leavingLifetime
         && !(entry && entry->incarnation > link->second.incarnation))
         return "leaving";
     if (entry && entry->state != UpstreamState::Serving) {
@@ -224,41 +226,46 @@
 
 auto RouterNode::State::onlyListedAsLeaving(const settings::Member &member) const -> bool
 {
-    const auto said = leavingSaidAt_.find(member.sidecar.ip);
-    if (said == leavingSaidAt_.end() || now_ - said->second >= limits::contestedLeaving)
+    const auto listed = listedLeavingSince_.find(member.sidecar.ip);
+    if (listed == listedLeavingSince_.end()
+        || now_ - listed->second >= limits::leavingDisputeTimeout)
         return false;
     const auto entry = loads_.find(member.id, now_);
-    return entry && entry->age <= limits::contestedLeaving && ownObstacle(member, now_).empty();
+    return entry && entry->age <= limits::leavingDisputeTimeout
+        && ownObstacle(member, now_).empty();
 }
 
-// A sidecar that restarts is joining for a moment, and routers hear for seconds that it was. Its
-// engine kept the contexts; passing it over would make each of its returning chats start cold. An
-// upstream that takes long to join has told more entries of this life, and is not asked.
-auto RouterNode::State::hasJustBegun(const settings::Member &member) const -> bool
+// A sidecar that restarts is joining for a moment, and routers see that state for some seconds. Its
+// engine kept the contexts, so passing it over would make each of its returning chats start cold.
+// An upstream that takes long to join has advertised more versions of this incarnation, and is not
+// tried.
+auto RouterNode::State::hasJustStarted(const settings::Member &member) const -> bool
 {
     const auto entry = loads_.find(member.id, now_);
-    return entry && entry->version <= limits::entriesOfABeginning
+    return entry && entry->version <= limits::maxEarlyVersion
         && obstacle(member, true, now_) == "joining";
 }
 
-// Host lists differ for seconds, and a wrong one would send a chat away from its context for good.
-// Its sidecar reads the list as well and refuses once it leaves, so a returning chat asks it; if
-// the sidecar never learns of it, the list is obeyed after a few seconds all the same.
-auto RouterNode::State::addContestedHome(const Exchange &exchange,
-                                         std::vector<UpstreamId> &usable) const -> void
+// Host lists differ between processes for seconds, and a wrong one would move a chat away from its
+// context permanently. The sidecar reads the list as well and refuses once it is leaving, so a
+// returning chat still tries it. If the sidecar never learns that it is leaving, the list takes
+// precedence after a few seconds.
+auto RouterNode::State::addContestedTokenUpstream(const Exchange &exchange,
+                                                  std::vector<UpstreamId> &usable) const -> void
 {
-    const auto *home = exchange.pool.member(exchange.tokenHome);
-    if (home == nullptr || contains(exchange.tried, home->id) || contains(usable, home->id)
-        || (!onlyListedAsLeaving(*home) && !hasJustBegun(*home)))
+    const auto *preferred = exchange.pool.member(exchange.tokenUpstream);
+    if (preferred == nullptr || contains(exchange.tried, preferred->id)
+        || contains(usable, preferred->id)
+        || (!onlyListedAsLeaving(*preferred) && !hasJustStarted(*preferred)))
         return;
     auto next = usable.begin();
     for (const auto &member : exchange.pool.pool->members) {
-        if (member.id == home->id)
+        if (member.id == preferred->id)
             break;
         if (next != usable.end() && *next == member.id)
             ++next;
     }
-    usable.insert(next, home->id);
+    usable.insert(next, preferred->id);
 }
 
 auto RouterNode::State::writeDecision(const Exchange &exchange) -> void
--- a/src/core/router-crashes.h
+++ b/src/core/router-crashes.h
@@ -1,4 +1,4 @@
-/// Which requests were running when upstreams died.
+/// Tracks which requests were running when upstreams crashed, as a router learns it.
 #pragma once
 
 #include "applehatch/core/digest.h"
@@ -14,28 +14,31 @@
 class CrashTable
 {
 public:
-    static constexpr std::size_t limit = 10000; ///< Fingerprints kept.
+    static constexpr std::size_t maxFingerprints = 10000; ///< Maximum number of fingerprints kept.
     static constexpr Duration lifetime = std::chrono::minutes(10);
-    static constexpr std::size_t suspectAt = 2; ///< Lives at which a request is refused.
+    static constexpr std::size_t suspectThreshold =
+        2; ///< Crashed incarnations from which on a request is refused.
 
     auto apply(const std::vector<CrashNotice> &notices, Instant now) -> void;
     auto expire(Instant now) -> void;
 
-    /// The lives at which `fingerprint` was running when the upstream died; each once.
-    [[nodiscard]] auto livesOf(Fingerprint fingerprint, Instant now) const
+    /// The incarnations in which `fingerprint` was running when the upstream crashed; each once.
+    [[nodiscard]] auto incarnationsOf(Fingerprint fingerprint, Instant now) const
         -> std::vector<UpstreamLife>;
 
-    /// Takes a sidecar's word that `fingerprint` is a suspect, whose notices may not have come yet.
-    auto condemn(Fingerprint fingerprint, Instant now) -> void;
+    /// Marks `fingerprint` as a suspect because a sidecar reported it as one; its crash notices may
+    /// not have arrived yet.
+    auto markSuspect(Fingerprint fingerprint, Instant now) -> void;
 
-    /// Two lives are known, or a sidecar said so.
+    /// Whether crashes of two incarnations are known, or a sidecar reported `fingerprint` as a
+    /// suspect.
     [[nodiscard]] auto isSuspect(Fingerprint fingerprint, Instant now) const -> bool;
 
     /// Up to `count` notices to pass on.
     [[nodiscard]] auto notices(std::size_t count, Instant now) const -> std::vector<CrashNotice>;
 
 private:
-    struct Held
+    struct Entry
     {
         UpstreamLife life;
         std::uint32_t sequence = 0;
@@ -44,8 +47,8 @@
 
     auto take(const CrashNotice &notice, Instant now) -> void;
 
-    std::unordered_map<Fingerprint, std::vector<Held>> held_;
-    std::unordered_map<Fingerprint, Instant> condemned_; ///< Until when.
+    std::unordered_map<Fingerprint, std::vector<Entry>> entries_;
+    std::unordered_map<Fingerprint, Instant> markedSuspects_; ///< Expiry of each mark.
 };
 
 } // namespace applehatch::core
--- a/src/core/router-exchange.h
+++ b/src/core/router-exchange.h
@@ -1,4 +1,4 @@
-/// One exchange with a caller: a request, the rest of an answer, or a ticket.
+/// State of one exchange with a caller: a request, the rest of an answer, or a ticket.
 #pragma once
 
 #include "applehatch/core/router-node.h"
@@ -14,18 +14,18 @@
 
 enum class ExchangeKind {
     Request,
-    Resume, ///< The rest of an answer, begun through this or another router.
+    Resume, ///< The rest of an answer that began through this or another router.
     Ticket,
 };
 
 enum class ExchangePhase {
-    Waiting,   ///< For its link to open; nothing was sent for this attempt.
-    Submitted, ///< The sidecar has it, or may have.
-    Finished,  ///< The whole answer was passed on; the caller has not taken all of it.
+    Waiting,   ///< Waits for its link to open; nothing was sent for this attempt.
+    Submitted, ///< The sidecar has the request, or may have it.
+    Finished,  ///< The whole answer was passed on; the caller has not received all of it.
     Detached,  ///< The caller left a stream that it may resume elsewhere.
 };
 
-/// What is known of two attempts together: that one ran outweighs that one may have.
+/// Combines the outcomes of two attempts: `Ran` outweighs `Unknown`, which outweighs `NotRun`.
 [[nodiscard]] inline auto worse(Run a, Run b) -> Run
 {
     if (a == Run::Ran || b == Run::Ran)
@@ -33,25 +33,25 @@
     return a == Run::Unknown || b == Run::Unknown ? Run::Unknown : Run::NotRun;
 }
 
-/// A member that a request did not go to, or not stay at.
+/// A member that was skipped for a request, or that the request left.
 struct PassedOver
 {
     UpstreamId upstream = 0;
     std::string reason;
 };
 
-/// What has arrived of an answer, and what the caller has of it. Offsets count the body's bytes.
+/// Progress of an answer from the upstream to the caller. Offsets are bytes of the body.
 struct Answer
 {
     bool headSent = false;
     bool stream = false;
-    bool fromStart = true;   ///< Only then can the hash be checked.
+    bool fromStart = true;   ///< The hash can only be checked for an answer from its start.
     std::uint64_t start = 0; ///< The offset at which this exchange began.
     std::uint64_t received = 0;
     std::uint64_t passedOn = 0;
     std::uint64_t consumed = 0;
     std::uint64_t acknowledged = 0;
-    bool gap = false; ///< Something later than `received` arrived.
+    bool gap = false; ///< Data or an end beyond `received` arrived.
     std::optional<End> end;
     BodyHash hash;
     EventSplitter events;
@@ -59,8 +59,8 @@
 
 struct Exchange
 {
-    RequestId request; ///< Towards the caller.
-    RequestId origin;  ///< Towards sidecars; another only for a resume.
+    RequestId request; ///< Id towards the caller.
+    RequestId origin;  ///< Id towards sidecars; differs from `request` only for a resume.
     ExchangeKind kind = ExchangeKind::Request;
     ExchangePhase phase = ExchangePhase::Waiting;
     Terms terms;
@@ -68,35 +68,37 @@
     PoolRef pool;
     Instant deadline;
 
-    UpstreamId tokenHome = 0;
-    UpstreamId boundTo = 0;         ///< The only upstream this may go to; 0 leaves it free.
-    Incarnation boundLife = 0;      ///< The only life of it; 0 accepts any before the first send.
-    std::optional<Instant> expires; ///< A ticket's, on the clock of its sidecar.
+    UpstreamId tokenUpstream = 0;
+    UpstreamId boundTo = 0; ///< The only upstream that may serve this; 0 allows any.
+    Incarnation boundIncarnation =
+        0; ///< The only accepted incarnation of `boundTo`; 0 accepts any before the first send.
+    std::optional<Instant> expires; ///< Expiry of a ticket, on the clock of its sidecar.
 
-    UpstreamId upstream = 0; ///< Where it is, or waits to go; 0 between attempts.
-    std::string cause;       ///< Why it is there, for the log.
+    UpstreamId upstream = 0; ///< The upstream of the current attempt; 0 between attempts.
+    std::string cause;       ///< Why `upstream` was chosen, for the log.
     std::uint32_t attempt = 0;
     Incarnation submittedTo = 0;
     std::uint32_t hops = 0; ///< Upstreams chosen so far, whether or not anything was sent.
     std::vector<UpstreamId> tried;
     std::vector<PassedOver> passedOver;
-    UpstreamId home = 0;     ///< The home that could not take this chat.
-    UpstreamId redirect = 0; ///< Named by a refusal and not yet tried.
+    UpstreamId movedFrom = 0; ///< The first upstream that could not take this chat.
+    UpstreamId redirect = 0;  ///< Upstream named by a refusal and not yet tried.
     bool redirected = false;
-    bool settling = false;    ///< A `Revoke` was sent to learn whether a lost submit arrived.
-    bool resubmitted = false; ///< The first submit to this upstream never reached it.
+    bool awaitingRevoked = false; ///< A `Revoke` was sent to learn whether a lost submit arrived.
+    bool resubmitted = false;     ///< The first submit to this upstream never arrived.
 
     bool mayWait = false;  ///< The last submit asked to wait rather than be refused.
-    Run run = Run::NotRun; ///< The worst that is known of the attempts that are over.
+    Run run = Run::NotRun; ///< Combined outcome of the attempts that ended.
     std::vector<UpstreamId> crashedAt;
     std::optional<ErrorKind> lastKind;  ///< Why the last attempt ended.
-    std::optional<Duration> retryAfter; ///< The shortest that a refusal named.
-
-    Instant heardAt;                ///< Last message about this exchange, or its last send.
-    std::optional<Instant> lostAt;  ///< When its link went, on the listening clock; none if well.
-    std::optional<Instant> askedAt; ///< Last `Resume`.
-    std::uint64_t askedFrom = 0;
-    Instant leftAt; ///< When the phase became finished or detached.
+    std::optional<Duration> retryAfter; ///< The shortest time that a refusal named.
+
+    Instant lastActivityAt; ///< Time of the last message about this exchange, or of its last send.
+    std::optional<Instant>
+        linkLostAt; ///< When its link was lost, on the listening clock; none while it works.
+    std::optional<Instant> lastResumeAt; ///< Time of the last `Resume`.
+    std::uint64_t lastResumeOffset = 0;
+    Instant endedAt; ///< When the phase became finished or detached.
     Answer answer;
 
     /// True when the request may be run again although an earlier attempt may have run.
@@ -108,7 +110,7 @@
             || call.method == "HEAD";
     }
 
-    /// True while a caller waits for more.
+    /// True while the caller waits for more of the answer.
     [[nodiscard]] auto isAnswering() const -> bool
     {
         return phase == ExchangePhase::Waiting || phase == ExchangePhase::Submitted;
--- a/src/core/router-explain.cc
+++ b/src/core/router-explain.cc
@@ -1,4 +1,4 @@
-// The candidates of a chat, for operators.
+// Lists the candidates of a chat for operators.
 #include "applehatch/core/placement.h"
 #include "applehatch/core/token.h"
 
@@ -31,7 +31,7 @@
                               loads_,
                               chatKey(pool, chat.empty() ? 0 : stableHash(chat)),
                               context ? context->upstream : 0,
-                              view.usable.empty() ? view.doubtful : view.usable,
+                              view.usable.empty() ? view.fallback : view.usable,
                               identity_.dataCenter,
                               now,
                               view.load};
@@ -61,7 +61,7 @@
     candidate.reason = obstacle(member, true, view.now);
     if (!candidate.reason.empty())
         return candidate;
-    if (candidate.chosen && member.id == view.tokenHome)
+    if (candidate.chosen && member.id == view.tokenUpstream)
         candidate.reason = "token";
     else if (candidate.chosen)
         candidate.reason = view.chat == 0 ? "least-of-two" : "hash";
--- a/src/core/router-link-events.cc
+++ b/src/core/router-link-events.cc
@@ -1,4 +1,4 @@
-// Connections to sidecars: opening, loss and silence.
+// Connections to sidecars: opening, loss, and detection of silence.
 #include "router-state.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
     if (link.phase != LinkPhase::Closed)
         return;
     link.phase = LinkPhase::Opening;
-    link.openedAt = listened_;
+    link.openedAt = listeningNow_;
     actions_.emplace_back(OpenLink{upstream});
 }
 
@@ -29,7 +29,7 @@
     return line;
 }
 
-// The number when the settings no longer name it.
+// The name in the settings, or the id when the settings no longer contain it.
 auto RouterNode::State::upstreamName(UpstreamId upstream) const -> std::string
 {
     if (!settings_)
@@ -48,20 +48,20 @@
     auto &link = links_[event.upstream];
     auto line = linkLine("link-up", event.upstream, link);
     if (link.phase == LinkPhase::Opening)
-        line.add("opening_us", Duration(listened_ - link.openedAt).count());
+        line.add("opening_us", Duration(listeningNow_ - link.openedAt).count());
     actions_.emplace_back(WriteLog{line});
     link.phase = LinkPhase::Open;
     if (link.incarnation != event.incarnation)
         link.leavingAt.reset();
     link.incarnation = event.incarnation;
     link.readClock(event.clock, now_);
-    link.quietSince = listened_;
-    link.probedAt = listened_;
+    link.quietSince = listeningNow_;
+    link.probedAt = listeningNow_;
     if (link.failedAt) {
         link.failedAt.reset();
         views_.clear();
     }
-    for (const auto &revoke : std::exchange(link.unwanted, {}))
+    for (const auto &revoke : std::exchange(link.pendingRevokes, {}))
         send(event.upstream, revoke);
     const auto waiting = link.exchanges;
     for (const auto &request : waiting) {
@@ -81,7 +81,7 @@
 auto RouterNode::State::linkLost(UpstreamId upstream, Link &link, std::string_view cause) -> void
 {
     auto line = linkLine("link-lost", upstream, link);
-    line.add("cause", cause).add("quiet_us", Duration(listened_ - link.quietSince).count());
+    line.add("cause", cause).add("quiet_us", Duration(listeningNow_ - link.quietSince).count());
     actions_.emplace_back(WriteLog{line});
     link.phase = LinkPhase::Closed;
     link.failedAt = now_;
@@ -103,8 +103,8 @@
     if (exchange.phase == ExchangePhase::Waiting && exchange.kind != ExchangeKind::Resume) {
         if (exchange.boundTo != 0) {
             fail(exchange,
-                 {ErrorKind::NoUpstream, Run::NotRun, "its upstream cannot be reached",
-                  limits::retryEstimate});
+                 {ErrorKind::NoUpstream, Run::NotRun, "the upstream cannot be reached",
+                  limits::defaultRetryAfter});
             return;
         }
         exchange.lastKind = ErrorKind::NoUpstream;
@@ -112,17 +112,18 @@
         advance(exchange, AttemptCost::Free);
         return;
     }
-    const auto firstLoss = !exchange.lostAt;
+    const auto firstLoss = !exchange.linkLostAt;
     if (firstLoss)
-        exchange.lostAt = listened_;
-    const auto isSought = listened_ - *exchange.lostAt < limits::reopenWindow;
-    // With the budget spent it can only be refused, while its first run may still be answered.
-    const auto runsAgain = exchange.mayRunAgain() && budgetOf(exchange).hasOne(now_);
+        exchange.linkLostAt = listeningNow_;
+    const auto isSought = listeningNow_ - *exchange.linkLostAt < limits::reconnectTimeout;
+    // With the retry budget spent the request could only be refused, while its first run may still
+    // be answered.
+    const auto runsAgain = exchange.mayRunAgain() && budgetOf(exchange).canSpend(now_);
     if (!firstLoss && (runsAgain || !isSought)) {
-        lose(exchange, "its upstream cannot be reached");
+        handleLoss(exchange, "the upstream cannot be reached");
         return;
     }
-    // The first opening is tried at once, the next ones from the tick.
+    // The first reopening is tried at once, later ones from the tick.
     if (firstLoss)
         openLink(exchange.upstream);
 }
@@ -137,36 +138,37 @@
 
 auto RouterNode::State::checkLink(UpstreamId upstream, Link &link) -> void
 {
-    if (link.phase == LinkPhase::Opening && listened_ - link.openedAt >= links::openTimeout) {
+    if (link.phase == LinkPhase::Opening && listeningNow_ - link.openedAt >= links::openTimeout) {
         actions_.emplace_back(DropLink{upstream});
         linkLost(upstream, link, "not-opened");
         return;
     }
     if (!isOutstanding(link))
         return;
-    if (link.phase == LinkPhase::Closed && listened_ - link.openedAt >= limits::reopenPause) {
+    if (link.phase == LinkPhase::Closed
+        && listeningNow_ - link.openedAt >= limits::reconnectInterval) {
         openLink(upstream);
         return;
     }
     if (link.phase != LinkPhase::Open)
         return;
-    if (listened_ - link.quietSince >= links::silence) {
-        // Something between the two ends has lost track of the connection. It never reports an
-        // error; the caller would see its stream stop for good. A new one works.
+    if (listeningNow_ - link.quietSince >= links::silenceTimeout) {
+        // A device between the two ends has lost the state of the connection. This never raises an
+        // error, and the caller's stream would stop permanently. A new connection works.
         actions_.emplace_back(DropLink{upstream});
         linkLost(upstream, link, "silent");
         return;
     }
-    const auto isQuiet = listened_ - link.quietSince >= links::probeAfter;
-    if (isQuiet && listened_ - link.probedAt >= links::probeAfter)
+    const auto isQuiet = listeningNow_ - link.quietSince >= links::probeInterval;
+    if (isQuiet && listeningNow_ - link.probedAt >= links::probeInterval)
         probe(upstream, link);
 }
 
-// Its sidecar answers at once with its clock, so that a sidecar that stood still is reckoned with
-// anew as soon as it is back.
+// The sidecar answers at once with its clock, so that times are converted correctly again as soon
+// as a stalled sidecar is back.
 auto RouterNode::State::probe(UpstreamId upstream, Link &link) -> void
 {
-    link.probedAt = listened_;
+    link.probedAt = listeningNow_;
     send(upstream, Heartbeat{});
 }
 
--- a/src/core/router-links.h
+++ b/src/core/router-links.h
@@ -1,4 +1,4 @@
-/// What a router knows of its connections to sidecars.
+/// State of a router's connections to sidecars.
 #pragma once
 
 #include "applehatch/core/message.h"
@@ -17,23 +17,23 @@
     Open,
 };
 
-/// The connection to one sidecar, and the requests that depend on it. What is concluded from its
-/// silence goes by the listening clock.
+/// The connection to one sidecar, and the requests that depend on it. Times used to detect silence
+/// are on the listening clock.
 struct Link
 {
     LinkPhase phase = LinkPhase::Closed;
     Incarnation incarnation = 0;
-    Instant sidecarClock; ///< The sidecar's last reading.
+    Instant sidecarClock; ///< The last known reading of the sidecar's clock.
     Instant clockReadAt;  ///< When that reading was received.
-    Instant openedAt;     ///< Since when it is opening; listening clock.
-    Instant quietSince;   ///< Last message, or when something became outstanding; the same clock.
-    Instant probedAt;     ///< Last heartbeat sent; the same clock.
+    Instant openedAt;     ///< When opening began; listening clock.
+    Instant quietSince;   ///< Last message, or when a request became outstanding; listening clock.
+    Instant probedAt;     ///< Last heartbeat sent; listening clock.
     std::optional<Instant> failedAt;
     std::optional<Instant> leavingAt; ///< When it last refused because it is leaving.
     std::set<RequestId> exchanges;
-    std::vector<Revoke> unwanted; ///< Attempts given up while the link was down.
+    std::vector<Revoke> pendingRevokes; ///< For attempts given up while the link was down.
 
-    /// The reading of the sidecar's clock that corresponds to `instant` of ours.
+    /// Converts `instant` from this process's clock to the sidecar's clock.
     [[nodiscard]] auto onSidecarClock(Instant instant) const -> Instant
     {
         return sidecarClock + (instant - clockReadAt);
@@ -50,13 +50,15 @@
 
 using namespace std::chrono_literals;
 
-inline constexpr Duration probeAfter = 1s;  ///< Quiet this long, it is asked; then each such time.
-inline constexpr Duration silence = 4s;     ///< Without a message this long, a link is dead.
-inline constexpr Duration openTimeout = 2s; ///< An answer to a connection attempt.
-inline constexpr Duration failureMemory = 3s; ///< How long a failed link is passed over.
-inline constexpr Duration leavingMemory = 5s; ///< Until digests say so as well.
-inline constexpr Duration clockDoubt = 1s;    ///< Clocks that differ by more are compared anew.
-inline constexpr std::size_t unwantedLimit = 1000;
+inline constexpr Duration probeInterval =
+    1s; ///< Silence before a probe, and the time between probes.
+inline constexpr Duration silenceTimeout = 4s; ///< Without a message this long, a link is lost.
+inline constexpr Duration openTimeout = 2s;    ///< For a connection attempt to succeed.
+inline constexpr Duration failureLifetime =
+    3s; ///< How long a member with a failed link is passed over.
+inline constexpr Duration leavingLifetime = 5s; ///< Until digests report the member as leaving.
+inline constexpr Duration maxClockSkew = 1s; ///< Clocks that may differ by more are compared again.
+inline constexpr std::size_t maxPendingRevokes = 1000;
 
 } // namespace links
 
--- a/src/core/router-node.cc
+++ b/src/core/router-node.cc
@@ -28,46 +28,46 @@
 auto RouterNode::handle(RouterEvent event, Instant now) -> std::vector<RouterAction>
 {
     state_->now_ = now;
-    state_->listened_ = state_->listening_.at(now);
+    state_->listeningNow_ = state_->listeningClock_.at(now);
     state_->handleEvent(event);
-    state_->sayDrained();
+    state_->reportDrained();
     return std::exchange(state_->actions_, {});
 }
 
 auto RouterNode::State::handleEvent(RouterEvent &event) -> void
 {
-    std::visit([this](auto &held) { on(held); }, event);
+    std::visit([this](auto &alternative) { on(alternative); }, event);
 }
 
 auto RouterNode::State::on(SettingsInForce &event) -> void
 {
     settings_ = std::move(event.settings);
     views_.clear();
-    noteMembers();
+    collectConfiguredUpstreams();
     releaseAcknowledgements([this](UpstreamId each) { return isKnownLeaving(each); });
 }
 
-auto RouterNode::State::noteMembers() -> void
+auto RouterNode::State::collectConfiguredUpstreams() -> void
 {
-    configured_.clear();
+    configuredUpstreams_.clear();
     for (const auto &[name, team] : settings_->teams) {
         for (const auto &[poolName, pool] : team->pools) {
             for (const auto &member : pool.members)
-                configured_.insert(member.id);
+                configuredUpstreams_.insert(member.id);
         }
     }
 }
 
 auto RouterNode::State::on(HostListRead &event) -> void
 {
-    const auto saidBefore = std::exchange(leavingSaidAt_, {});
+    const auto previous = std::exchange(listedLeavingSince_, {});
     hosts_.clear();
     for (const auto &host : event.list.hosts) {
         hosts_[host.ip] = host.state;
         if (host.state != HostState::Leaving)
             continue;
-        const auto said = saidBefore.find(host.ip);
-        leavingSaidAt_[host.ip] = said == saidBefore.end() ? now_ : said->second;
+        const auto known = previous.find(host.ip);
+        listedLeavingSince_[host.ip] = known == previous.end() ? now_ : known->second;
     }
     views_.clear();
 }
@@ -87,17 +87,17 @@
     if (std::any_of(entries.begin(), entries.end(), changesState))
         views_.clear();
     loads_.apply(entries, now_);
-    const auto tellsOfLeaving = [](const DigestEntry &entry) {
+    const auto reportsLeaving = [](const DigestEntry &entry) {
         return entry.state == UpstreamState::Leaving;
     };
-    if (std::any_of(entries.begin(), entries.end(), tellsOfLeaving))
+    if (std::any_of(entries.begin(), entries.end(), reportsLeaving))
         releaseAcknowledgements([this](UpstreamId each) { return isKnownLeaving(each); });
 }
 
 auto RouterNode::State::recentLoads() -> const std::vector<DigestEntry> &
 {
     if (recentLoads_.empty() || now_ - recentLoadsAt_ > limits::poolViewLifetime) {
-        recentLoads_ = loads_.freshest(limits::submitLoads, now_);
+        recentLoads_ = loads_.freshest(limits::maxSubmitLoads, now_);
         recentLoadsAt_ = now_;
     }
     return recentLoads_;
@@ -109,16 +109,16 @@
     releaseAcknowledgements([](UpstreamId) { return true; });
 }
 
-auto RouterNode::State::sayDrained() -> void
+auto RouterNode::State::reportDrained() -> void
 {
-    if (!draining_ || drainedSaid_)
+    if (!draining_ || drainedReported_)
         return;
-    const auto holdsUp = [](const auto &item) {
+    const auto blocksDrain = [](const auto &item) {
         return item.second.phase != ExchangePhase::Detached;
     };
-    if (std::any_of(exchanges_.begin(), exchanges_.end(), holdsUp))
+    if (std::any_of(exchanges_.begin(), exchanges_.end(), blocksDrain))
         return;
-    drainedSaid_ = true;
+    drainedReported_ = true;
     actions_.emplace_back(Drained{});
 }
 
@@ -126,7 +126,7 @@
 {
     const auto link = links_.find(event.upstream);
     if (link != links_.end())
-        link->second.quietSince = listened_;
+        link->second.quietSince = listeningNow_;
     std::visit([&](auto &message) { onMessage(event.upstream, message); }, event.message);
 }
 
--- a/src/core/router-pools.cc
+++ b/src/core/router-pools.cc
@@ -112,15 +112,15 @@
 
 auto fingerprintOf(const Terms &terms, const Call &call) -> Fingerprint
 {
-    // Each part is hashed with the hash of those before it as its seed, so that moving a byte
-    // from one part to the next gives another fingerprint.
-    Fingerprint print = 0;
+    // The hash of the preceding parts is the seed for each part, so that moving a byte from one
+    // part to the next gives another fingerprint.
+    Fingerprint hash = 0;
     for (const std::string_view part :
          {std::string_view(terms.team), std::string_view(terms.customer),
           std::string_view(call.method), std::string_view(call.path),
           call.body ? std::string_view(*call.body) : std::string_view()})
-        print = stableHash(part, print);
-    return print;
+        hash = stableHash(part, hash);
+    return hash;
 }
 
 } // namespace applehatch::core
--- a/src/core/router-pools.h
+++ b/src/core/router-pools.h
@@ -17,18 +17,18 @@
     [[nodiscard]] auto member(UpstreamId id) const -> const settings::Member *;
 };
 
-/// The pool that `terms` and `path` lead to, or why there is none.
+/// The pool selected by `terms` and `path`, or the failure when there is none.
 [[nodiscard]] auto findPool(const settings::Settings &settings, const Terms &terms,
                             std::string_view path) -> std::variant<PoolRef, Failure>;
 
-/// The pool with a member `id`, if the team has one.
+/// The pool of `team` with the member `id`; empty when there is none.
 [[nodiscard]] auto findPoolOf(const settings::Settings &settings, const std::string &team,
                               UpstreamId id) -> PoolRef;
 
 /// Mixes team and pool into the hash of a chat's name; 0 stays 0.
 [[nodiscard]] auto chatKey(const Pool &pool, std::uint64_t chatNameHash) -> ChatKey;
 
-/// Hash of what the request asks for, whoever carries it.
+/// Hash of the request's content; the same at every router.
 [[nodiscard]] auto fingerprintOf(const Terms &terms, const Call &call) -> Fingerprint;
 
 } // namespace applehatch::core
--- a/src/core/router-requests.cc
+++ b/src/core/router-requests.cc
@@ -1,4 +1,4 @@
-// What callers send: requests, resumes, progress and departures.
+// Handles events from callers: requests, resumes, progress and disconnects.
 #include "applehatch/core/token.h"
 
 #include "router-state.h"
@@ -11,13 +11,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration shortestDeadline = 1ms;
+constexpr Duration minDeadline = 1ms;
 
 auto refusal(ErrorKind kind, std::string detail) -> Failure
 {
     Failure failure{kind, Run::NotRun, std::move(detail), std::nullopt};
     if (answerFor(kind).mayRepeat)
-        failure.retryAfter = limits::retryEstimate;
+        failure.retryAfter = limits::defaultRetryAfter;
     return failure;
 }
 
@@ -31,8 +31,8 @@
     Exchange exchange;
     exchange.request = event.request;
     exchange.origin = event.request;
-    // The key may have been sent before through another router; only its sidecar can say "not
-    // run" then.
+    // The key may have been sent before through another router. Then only its sidecar knows whether
+    // the request has "not run".
     const auto mayBeResent =
         event.terms.runOnce || (!event.ticket.empty() && parseTicket(event.ticket));
     if (mayBeResent && !event.terms.firstSend)
@@ -65,7 +65,7 @@
     exchange.terms.fingerprint = fingerprintOf(exchange.terms, exchange.call);
     const auto context = parseContext(event.contextToken);
     if (context && exchange.pool.member(context->upstream) != nullptr)
-        exchange.tokenHome = context->upstream;
+        exchange.tokenUpstream = context->upstream;
     if (auto failure = checkCrashes(exchange))
         return failure;
     return bindRunOnce(event.ticket, exchange);
@@ -76,7 +76,7 @@
 {
     const auto &pool = *exchange.pool.pool;
     const auto deadline = event.deadline.value_or(pool.defaultDeadline);
-    if (deadline < shortestDeadline || deadline > pool.maxDeadline)
+    if (deadline < minDeadline || deadline > pool.maxDeadline)
         return refusal(ErrorKind::BadRequest, "the deadline is out of the pool's range");
     exchange.deadline = now_ + deadline;
     return std::nullopt;
@@ -86,7 +86,7 @@
 {
     if (!crashes_.isSuspect(exchange.terms.fingerprint, now_))
         return std::nullopt;
-    return refusal(ErrorKind::CrashSuspect, "it was running when two upstreams died");
+    return refusal(ErrorKind::CrashSuspect, "the request was running when two upstreams crashed");
 }
 
 auto RouterNode::State::start(Exchange exchange) -> void
@@ -94,13 +94,13 @@
     supersede(exchange.origin);
     byOrigin_[exchange.origin] = exchange.request;
     const auto request = exchange.request;
-    exchange.heardAt = now_;
+    exchange.lastActivityAt = now_;
     auto &held = exchanges_.insert_or_assign(request, std::move(exchange)).first->second;
     advance(held, AttemptCost::First);
 }
 
-// A caller that comes back for a stream may be faster than the news that its old connection
-// closed. Without this two exchanges would take the same chunks and each miss some.
+// A caller may resume a stream before the router learns that its old connection closed. Without
+// this, two exchanges would consume the same chunks and each would miss some.
 auto RouterNode::State::supersede(const RequestId &origin) -> void
 {
     const auto earlier = byOrigin_.find(origin);
@@ -148,14 +148,15 @@
         erase(*exchange);
         return;
     }
-    // The caller holds a position and may resume at any router. Stopping the run now would cost
-    // it the rest of its answer.
+    // The caller has a position and may resume at any router. Stopping the run now would lose the
+    // rest of its answer.
     exchange->phase = ExchangePhase::Detached;
-    exchange->leftAt = now_;
+    exchange->endedAt = now_;
 }
 
-// Request ids can be guessed; a guess must not cut off another customer's stream.
-auto RouterNode::State::isOfAnother(const CallerResume &event, const RequestId &origin) -> bool
+// Request ids can be guessed; a guessed id must not end another customer's stream.
+auto RouterNode::State::belongsToAnotherCustomer(const CallerResume &event, const RequestId &origin)
+    -> bool
 {
     const auto earlier = byOrigin_.find(origin);
     if (earlier == byOrigin_.end())
@@ -183,7 +184,7 @@
         return;
     }
     exchange.pool = findPoolOf(*settings_, event.team, position->upstream);
-    if (exchange.pool.pool == nullptr || isOfAnother(event, position->request)) {
+    if (exchange.pool.pool == nullptr || belongsToAnotherCustomer(event, position->request)) {
         fail(exchange, {ErrorKind::AnswerLost, Run::Unknown, "no such answer", std::nullopt});
         return;
     }
--- a/src/core/router-state.h
+++ b/src/core/router-state.h
@@ -1,4 +1,5 @@
-/// Everything one router node holds; the events are handled in the files named beside them.
+/// State of one router node. A comment above each group of functions names the file that defines
+/// them.
 #pragma once
 
 #include "applehatch/core/listening-clock.h"
@@ -24,56 +25,63 @@
 
 using namespace std::chrono_literals;
 
-inline constexpr std::uint32_t attempts = 4;   ///< Submits for one request.
-inline constexpr std::uint32_t hops = 8;       ///< Upstreams chosen for one request.
-inline constexpr Duration retryEstimate = 1s;  ///< Told when no refusal named a time.
-inline constexpr Duration reopenWindow = 10s;  ///< How long a lost answer is sought.
-inline constexpr Duration reopenPause = 500ms; ///< Between failed openings.
-inline constexpr Duration askPeriod = 1s;      ///< Between resumes from one offset.
-inline constexpr Duration quietExchange = 5s;  ///< Then the sidecar is asked about it.
-inline constexpr Duration resumeGrace = 10s;   ///< A caller that left a stream may be back.
-inline constexpr Duration stillSending = 2s;   ///< A run that sent since is ours to stop.
-inline constexpr Duration consumeWindow = 30s; ///< For a caller to take the last bytes.
-inline constexpr Duration ticketWait = 10s;    ///< For a link, when giving a ticket.
-inline constexpr Duration digestPeriod = 1s;
+inline constexpr std::uint32_t maxAttempts = 4;   ///< Submits per request.
+inline constexpr std::uint32_t maxHops = 8;       ///< Upstreams chosen per request.
+inline constexpr Duration defaultRetryAfter = 1s; ///< Sent when no refusal gave a time.
+inline constexpr Duration reconnectTimeout =
+    10s; ///< For reopening the link of an answer in progress.
+inline constexpr Duration reconnectInterval = 500ms; ///< Between failed attempts to open a link.
+inline constexpr Duration resumeInterval = 1s;       ///< Between resumes from the same offset.
+inline constexpr Duration quietExchangeTimeout =
+    5s; ///< Without a message this long, the answer is requested again.
+inline constexpr Duration detachedLifetime =
+    10s; ///< Time for a caller to resume a stream that it left.
+inline constexpr Duration recentMessageWindow =
+    2s; ///< A run that sent a message within it still sends to this router.
+inline constexpr Duration consumeTimeout = 30s; ///< For a caller to receive the last bytes.
+inline constexpr Duration ticketTimeout = 10s;  ///< For a link to open before a ticket is issued.
+inline constexpr Duration digestInterval = 1s;
 inline constexpr Duration poolViewLifetime = 50ms;
-inline constexpr Duration contestedLeaving = 3s;        ///< Then a list's word is final.
-inline constexpr std::uint64_t entriesOfABeginning = 4; ///< A sidecar tells about one a second.
-inline constexpr std::size_t digestEntries = 8;
-inline constexpr std::size_t digestCrashes = 4;
-inline constexpr std::size_t submitLoads = 4;
+inline constexpr Duration leavingDisputeTimeout =
+    3s; ///< After that the host list takes precedence.
+inline constexpr std::uint64_t maxEarlyVersion =
+    4; ///< A sidecar advertises about one version per second.
+inline constexpr std::size_t maxDigestEntries = 8;
+inline constexpr std::size_t maxDigestCrashes = 4;
+inline constexpr std::size_t maxSubmitLoads = 4;
 inline constexpr std::uint64_t acknowledgeStep = 128U << 10U;
-inline constexpr Duration answerMemory = 60s; ///< Of a sidecar for a whole answer.
+inline constexpr Duration answerLifetime = 60s; ///< How long a sidecar keeps a complete answer.
 
 } // namespace limits
 
-/// What is known of a pool for placement, kept for a few ticks since it costs a walk over it.
+/// Placement input of one pool. Cached for a few ticks, since computing it visits every member.
 struct PoolView
 {
     PoolRef pool;
-    std::vector<UpstreamId> usable;   ///< Nothing speaks against them.
-    std::vector<UpstreamId> doubtful; ///< Those, and the ones with only weak evidence against.
+    std::vector<UpstreamId> usable; ///< Members with no evidence against them.
+    std::vector<UpstreamId>
+        fallback; ///< Usable members, and those with only weak evidence against them.
     PoolLoad load;
     Instant madeAt;
 };
 
-/// Whether an upstream that a request has not tried yet could take it.
-enum class Room {
-    None,     ///< All are at their bound, or cannot be used.
-    Possible, ///< Of some nothing is known.
-    Known,
+/// Whether an upstream that a request has not tried yet could accept it.
+enum class SpareCapacity {
+    None,    ///< All are at their bound, or cannot be used.
+    Unknown, ///< Some have no known load.
+    Available,
 };
 
-/// What an attempt takes from the retry budget.
+/// What an attempt costs the retry budget.
 enum class AttemptCost {
     First,
-    Free,     ///< The last one was never sent, or its refusal named where to go.
+    Free,     ///< The last attempt was never sent, or its refusal named an upstream.
     Hop,      ///< After a full upstream; charged, but never denied.
     OneRetry, ///< Any other repetition.
 };
 
-/// How far a caller has taken an answer.
-struct Taken
+/// The part of an answer that its caller has received.
+struct AnswerProgress
 {
     Instant at;
     UpstreamId upstream = 0;
@@ -81,7 +89,7 @@
     std::uint64_t offset = 0;
 };
 
-/// Where a request goes next, and why.
+/// The next upstream for a request, and the reason.
 struct Choice
 {
     UpstreamId upstream = 0;
@@ -100,7 +108,7 @@
     auto on(FromSidecar &event) -> void;
     [[nodiscard]] auto recentLoads() -> const std::vector<DigestEntry> &;
     auto applyLoads(const std::vector<DigestEntry> &entries) -> void;
-    auto sayDrained() -> void;
+    auto reportDrained() -> void;
 
     // router-requests.cc
     auto on(CallerRequest &event) -> void;
@@ -112,7 +120,8 @@
         -> std::optional<Failure>;
     [[nodiscard]] auto checkCrashes(const Exchange &exchange) -> std::optional<Failure>;
     auto start(Exchange exchange) -> void;
-    [[nodiscard]] auto isOfAnother(const CallerResume &event, const RequestId &origin) -> bool;
+    [[nodiscard]] auto belongsToAnotherCustomer(const CallerResume &event, const RequestId &origin)
+        -> bool;
     auto supersede(const RequestId &origin) -> void;
 
     // router-tickets.cc
@@ -128,27 +137,29 @@
     [[nodiscard]] auto chooseAfterCrash(const Exchange &exchange,
                                         const std::vector<UpstreamId> &crashed)
         -> std::optional<Choice>;
-    auto noteHome(Exchange &exchange, const PlacementView &view, UpstreamId chosen) -> void;
+    auto recordPassedOverOwner(Exchange &exchange, const PlacementView &view, UpstreamId chosen)
+        -> void;
     [[nodiscard]] auto chooseByPlacement(Exchange &exchange) -> std::optional<Choice>;
     [[nodiscard]] auto isUnlisted(const settings::Member &member) const -> bool;
     [[nodiscard]] auto crashedUpstreams(const Exchange &exchange) const -> std::vector<UpstreamId>;
-    [[nodiscard]] auto roomElsewhere(const Exchange &exchange) const -> Room;
+    [[nodiscard]] auto spareCapacityElsewhere(const Exchange &exchange) const -> SpareCapacity;
     [[nodiscard]] auto poolView(const PoolRef &pool) -> const PoolView &;
     [[nodiscard]] auto makePoolView(const PoolRef &pool, Instant now) const -> PoolView;
-    [[nodiscard]] auto obstacle(const settings::Member &member, bool weakToo, Instant now) const
+    [[nodiscard]] auto obstacle(const settings::Member &member, bool includeWeak, Instant now) const
         -> std::string_view;
     [[nodiscard]] auto ownObstacle(const settings::Member &member, Instant now) const
         -> std::string_view;
     [[nodiscard]] auto onlyListedAsLeaving(const settings::Member &member) const -> bool;
-    auto addContestedHome(const Exchange &exchange, std::vector<UpstreamId> &usable) const -> void;
-    [[nodiscard]] auto hasJustBegun(const settings::Member &member) const -> bool;
+    auto addContestedTokenUpstream(const Exchange &exchange, std::vector<UpstreamId> &usable) const
+        -> void;
+    [[nodiscard]] auto hasJustStarted(const settings::Member &member) const -> bool;
     auto writeDecision(const Exchange &exchange) -> void;
 
     // router-acknowledge.cc
     auto acknowledge(Exchange &exchange) -> void;
-    auto acknowledge(const Taken &taken, bool finished) -> void;
+    auto acknowledge(const AnswerProgress &progress, bool finished) -> void;
     auto acknowledgeEnd(const Exchange &exchange) -> void;
-    auto noteMembers() -> void;
+    auto collectConfiguredUpstreams() -> void;
     [[nodiscard]] auto isKnownLeaving(UpstreamId upstream) const -> bool;
     auto releaseAcknowledgements(const std::function<bool(UpstreamId)> &isFor) -> void;
     auto expireAcknowledgements() -> void;
@@ -171,7 +182,7 @@
     auto resume(Exchange &exchange) -> void;
     auto leaveUpstream(Exchange &exchange, std::string reason) -> void;
     auto revoke(Exchange &exchange) -> void;
-    auto lose(Exchange &exchange, const std::string &why) -> void;
+    auto handleLoss(Exchange &exchange, const std::string &why) -> void;
     auto fail(Exchange &exchange, Failure failure) -> void;
     auto erase(Exchange &exchange) -> void;
 
@@ -187,11 +198,11 @@
     { }
     auto refuse(Exchange &exchange, Refusal &refusal) -> void;
     auto checkClock(const Exchange &exchange, const Failure &failure) -> void;
-    [[nodiscard]] auto settle(Exchange &exchange, Run run) -> bool;
+    [[nodiscard]] auto resolveLostAnswer(Exchange &exchange, Run run) -> bool;
     auto crash(Exchange &exchange, const Failure &failure) -> bool;
     auto passOn(Exchange &exchange, std::string data) -> void;
     auto finish(Exchange &exchange) -> void;
-    auto askAgain(Exchange &exchange) -> void;
+    auto resumeIfDue(Exchange &exchange) -> void;
     [[nodiscard]] auto find(const RequestId &request) -> Exchange *;
     [[nodiscard]] auto findAt(UpstreamId upstream, const RequestId &origin) -> Exchange *;
 
@@ -213,36 +224,39 @@
     auto on(Tick &event) -> void;
     auto checkExchange(Exchange &exchange) -> void;
     auto passDeadline(Exchange &exchange) -> void;
-    auto checkLeft(Exchange &exchange) -> void;
+    auto checkEnded(Exchange &exchange) -> void;
     auto sendDigest() -> void;
 
     RouterIdentity identity_;
     Placement placement_;
     Random random_;
     LoadTable loads_;
-    std::vector<DigestEntry> recentLoads_; ///< Sent with each submit; picking them costs a sort.
+    std::vector<DigestEntry>
+        recentLoads_; ///< Sent with each submit; cached, since selecting them costs a sort.
     Instant recentLoadsAt_;
     CrashTable crashes_;
     SettingsPtr settings_;
-    std::set<UpstreamId> configured_;                        ///< All members of `settings_`.
-    std::unordered_map<std::string, HostState> hosts_;       ///< Empty while unknown.
-    std::unordered_map<std::string, Instant> leavingSaidAt_; ///< Since when lists say so, by IP.
+    std::set<UpstreamId> configuredUpstreams_;         ///< All members of `settings_`.
+    std::unordered_map<std::string, HostState> hosts_; ///< Empty while unknown.
+    std::unordered_map<std::string, Instant>
+        listedLeavingSince_; ///< When host lists began to show a host as leaving, by IP.
     LinkTable links_;
-    std::deque<Taken> withheld_; ///< Ends of answers that no sidecar waits to hear of.
+    std::deque<AnswerProgress>
+        deferredAcknowledgements_; ///< For complete answers; no sidecar waits for them.
     RetryBudgets budgets_;
     std::map<std::string, PoolView> views_; ///< By `team/pool`.
     std::map<RequestId, Exchange> exchanges_;
     std::unordered_map<RequestId, RequestId> byOrigin_;
     RouterCounts counts_;
     bool draining_ = false;
-    bool drainedSaid_ = false;
-    ListeningClock listening_;
-    Instant digestAt_;
-    std::size_t digestPool_ = 0;
-
-    std::vector<RouterAction> actions_; ///< Of the event being handled.
-    Instant now_;                       ///< Of the event being handled.
-    Instant listened_;                  ///< The same on the listening clock.
+    bool drainedReported_ = false;
+    ListeningClock listeningClock_;
+    Instant lastDigestAt_;
+    std::size_t nextDigestPool_ = 0;
+
+    std::vector<RouterAction> actions_; ///< Result of the event being handled.
+    Instant now_;                       ///< Time of the event being handled.
+    Instant listeningNow_;              ///< The same on the listening clock.
 };
 
 } // namespace applehatch::core
--- a/src/core/router-tick.cc
+++ b/src/core/router-tick.cc
@@ -1,4 +1,4 @@
-// What the passing of time brings: deadlines, quiet links, digests.
+// Periodic work: deadlines, silent links, digests.
 #include "router-state.h"
 
 #include <iterator>
@@ -7,7 +7,7 @@
 
 auto RouterNode::State::on(Tick & /*event*/) -> void
 {
-    listening_.look(now_);
+    listeningClock_.look(now_);
     std::vector<RequestId> requests;
     requests.reserve(exchanges_.size());
     for (const auto &[request, exchange] : exchanges_)
@@ -29,7 +29,7 @@
 auto RouterNode::State::checkExchange(Exchange &exchange) -> void
 {
     if (!exchange.isAnswering()) {
-        checkLeft(exchange);
+        checkEnded(exchange);
         return;
     }
     if (exchange.deadline <= now_) {
@@ -39,11 +39,12 @@
     const auto &link = links_[exchange.upstream];
     if (exchange.phase != ExchangePhase::Submitted || link.phase != LinkPhase::Open)
         return;
-    // A message can be lost on a connection that otherwise works, in the peer's own queue say;
-    // the answer would then never go on although heartbeats do.
-    const auto patience = exchange.answer.gap ? limits::askPeriod : limits::quietExchange;
-    if (now_ - exchange.heardAt >= patience)
-        askAgain(exchange);
+    // A message can be lost on a connection that otherwise works, for example in the peer's own
+    // queue. The answer would then never continue although heartbeats do.
+    const auto patience =
+        exchange.answer.gap ? limits::resumeInterval : limits::quietExchangeTimeout;
+    if (now_ - exchange.lastActivityAt >= patience)
+        resumeIfDue(exchange);
 }
 
 auto RouterNode::State::passDeadline(Exchange &exchange) -> void
@@ -55,28 +56,28 @@
     fail(exchange, {ErrorKind::DeadlineExceeded, run, "", std::nullopt});
 }
 
-auto RouterNode::State::checkLeft(Exchange &exchange) -> void
+auto RouterNode::State::checkEnded(Exchange &exchange) -> void
 {
-    const auto gone = now_ - exchange.leftAt;
+    const auto gone = now_ - exchange.endedAt;
     if (exchange.phase == ExchangePhase::Finished) {
-        if (gone >= limits::consumeWindow)
+        if (gone >= limits::consumeTimeout)
             erase(exchange);
         return;
     }
-    if (gone < limits::resumeGrace)
+    if (gone < limits::detachedLifetime)
         return;
-    // A caller that resumed through another router took the stream with it, and its sidecar sends
-    // nothing here any more; only a run that still sends here has nobody left.
-    if (now_ - exchange.heardAt < limits::stillSending)
+    // After a caller resumed through another router, the sidecar sends the stream there and nothing
+    // here. Only a run that still sends to this router has no caller left.
+    if (now_ - exchange.lastActivityAt < limits::recentMessageWindow)
         revoke(exchange);
     erase(exchange);
 }
 
 auto RouterNode::State::sendDigest() -> void
 {
-    if (!settings_ || now_ < digestAt_ + limits::digestPeriod)
+    if (!settings_ || now_ < lastDigestAt_ + limits::digestInterval)
         return;
-    digestAt_ = now_;
+    lastDigestAt_ = now_;
     loads_.expire(now_);
     expireAcknowledgements();
     crashes_.expire(now_);
@@ -89,11 +90,11 @@
     }
     if (pools.empty())
         return;
-    const auto &asked = *pools[digestPool_++ % pools.size()];
+    const auto &asked = *pools[nextDigestPool_++ % pools.size()];
     Digest digest;
     digest.settingsIndex = settings_->index;
-    digest.entries = loads_.freshestOf(asked, {}, limits::digestEntries, now_);
-    digest.crashes = crashes_.notices(limits::digestCrashes, now_);
+    digest.entries = loads_.freshestOf(asked, {}, limits::maxDigestEntries, now_);
+    digest.crashes = crashes_.notices(limits::maxDigestCrashes, now_);
     digest.wantsReply = true;
     const auto &member = asked.members[random_() % asked.members.size()];
     actions_.emplace_back(SendDigest{member.id, std::move(digest)});
--- a/src/core/router-tickets.cc
+++ b/src/core/router-tickets.cc
@@ -1,4 +1,4 @@
-// Requests that may run once only: keys bound by hash, and tickets.
+// Requests that may run only once: keys bound to an upstream by hash, and tickets.
 #include "applehatch/core/placement.h"
 #include "applehatch/core/run-once.h"
 #include "applehatch/core/token.h"
@@ -23,8 +23,8 @@
         return bindTicket(ticket, exchange);
     if (!exchange.terms.runOnce)
         return std::nullopt;
-    // Copies of a request may arrive at routers with different lists of who is live, so only the
-    // configured members decide where a key belongs.
+    // Copies of a request may arrive at routers that consider different members live, so only the
+    // configured members decide which upstream owns a key.
     auto terms = exchange.terms;
     if (terms.idempotencyKey.empty())
         terms.idempotencyKey = exchange.request;
@@ -44,12 +44,12 @@
         return Failure{ErrorKind::BadRequest, Run::NotRun, "the ticket is not for this pool",
                        std::nullopt};
     if (exchange.pool.member(ticket->life.upstream) == nullptr)
-        return Failure{ErrorKind::OutcomeUnknown, Run::Unknown, "the ticket's upstream is gone",
-                       std::nullopt};
+        return Failure{ErrorKind::OutcomeUnknown, Run::Unknown,
+                       "the ticket's upstream is no longer configured", std::nullopt};
     exchange.terms.runOnce = true;
     exchange.terms.idempotencyKey = ticketKey(*ticket);
     exchange.boundTo = ticket->life.upstream;
-    exchange.boundLife = ticket->life.incarnation;
+    exchange.boundIncarnation = ticket->life.incarnation;
     exchange.expires = ticket->expires;
     exchange.cause = "ticket";
     return std::nullopt;
@@ -65,8 +65,9 @@
     exchange.terms.customer = event.customer;
     exchange.terms.pool = event.pool;
     const auto refuse = [&](ErrorKind kind) {
-        const auto wait = answerFor(kind).mayRepeat ? std::optional<Duration>(limits::retryEstimate)
-                                                    : std::nullopt;
+        const auto wait = answerFor(kind).mayRepeat
+            ? std::optional<Duration>(limits::defaultRetryAfter)
+            : std::nullopt;
         fail(exchange, {kind, Run::NotRun, "", wait});
     };
     if (exchanges_.contains(event.request))
@@ -82,7 +83,7 @@
     }
     exchange.pool = std::get<PoolRef>(std::move(found));
     exchange.terms.pool = exchange.pool.pool->name;
-    exchange.deadline = now_ + limits::ticketWait;
+    exchange.deadline = now_ + limits::ticketTimeout;
     start(std::move(exchange));
 }
 
--- a/src/core/wait-queue.cc
+++ b/src/core/wait-queue.cc
@@ -7,17 +7,17 @@
 
 namespace {
 
-constexpr double smallestWeight = 0.001;
+constexpr double minWeight = 0.001;
 
 } // namespace
 
 auto WaitQueue::push(const Waiting &waiting, settings::QueueOrder order) -> void
 {
-    auto &held = classes_[waiting.priority];
-    auto &flow = held.flows[waiting.customer];
-    flow.weight = std::max(smallestWeight, waiting.weight);
+    auto &priorityClass = classes_[waiting.priority];
+    auto &flow = priorityClass.flows[waiting.customer];
+    flow.weight = std::max(minWeight, waiting.weight);
     if (flow.requests.empty())
-        flow.start = std::max(held.virtualTime, flow.finish);
+        flow.start = std::max(priorityClass.virtualTime, flow.finish);
     const auto byArrival = order == settings::QueueOrder::FirstCome;
     const Rank rank{byArrival ? Instant{} : waiting.deadline, ++arrivals_};
     flow.requests.emplace(rank, waiting);
@@ -26,9 +26,9 @@
 
 auto WaitQueue::pop(const std::set<std::string> &passedOver) -> std::optional<std::uint64_t>
 {
-    for (auto &[priority, held] : classes_) {
+    for (auto &[priority, priorityClass] : classes_) {
         Flow *next = nullptr;
-        for (auto &[customer, flow] : held.flows) {
+        for (auto &[customer, flow] : priorityClass.flows) {
             const auto mayTake = !flow.requests.empty() && !passedOver.contains(customer);
             if (mayTake && (next == nullptr || flow.start < next->start))
                 next = &flow;
@@ -37,21 +37,21 @@
             continue;
         const auto id = next->requests.begin()->second.id;
         // A customer that was passed over starts behind the others.
-        held.virtualTime = std::max(held.virtualTime, next->start);
+        priorityClass.virtualTime = std::max(priorityClass.virtualTime, next->start);
         next->finish = next->start + 1.0 / next->weight;
         next->start = next->finish;
         next->requests.erase(next->requests.begin());
         places_.erase(id);
-        forgetIdle(held);
+        eraseIdleFlows(priorityClass);
         return id;
     }
     return std::nullopt;
 }
 
-auto WaitQueue::forgetIdle(Class &held) -> void
+auto WaitQueue::eraseIdleFlows(Class &priorityClass) -> void
 {
-    std::erase_if(held.flows, [&](const auto &item) {
-        return item.second.requests.empty() && item.second.finish <= held.virtualTime;
+    std::erase_if(priorityClass.flows, [&](const auto &item) {
+        return item.second.requests.empty() && item.second.finish <= priorityClass.virtualTime;
     });
 }
 
@@ -61,22 +61,22 @@
     if (found == places_.end())
         return false;
     const auto &place = found->second;
-    auto &held = classes_[place.priority];
-    held.flows[place.customer].requests.erase(place.rank);
+    auto &priorityClass = classes_[place.priority];
+    priorityClass.flows[place.customer].requests.erase(place.rank);
     places_.erase(found);
-    forgetIdle(held);
+    eraseIdleFlows(priorityClass);
     return true;
 }
 
 auto WaitQueue::ahead(const Waiting &waiting) const -> double
 {
     double before = 0;
-    for (const auto &[priority, held] : classes_) {
+    for (const auto &[priority, priorityClass] : classes_) {
         if (priority < waiting.priority)
             break;
-        const auto own = held.flows.find(waiting.customer);
+        const auto own = priorityClass.flows.find(waiting.customer);
         double ownBefore = 0;
-        if (own != held.flows.end() && priority == waiting.priority) {
+        if (own != priorityClass.flows.end() && priority == waiting.priority) {
             const auto &requests = own->second.requests;
             const auto place = places_.find(waiting.id);
             const auto later = place == places_.end()
@@ -84,10 +84,10 @@
                 : requests.find(place->second.rank);
             ownBefore = static_cast<double>(std::distance(requests.begin(), later));
         }
-        for (const auto &[customer, flow] : held.flows) {
+        for (const auto &[customer, flow] : priorityClass.flows) {
             const auto all = static_cast<double>(flow.requests.size());
             const auto share =
-                std::ceil((ownBefore + 1) * flow.weight / std::max(smallestWeight, waiting.weight));
+                std::ceil((ownBefore + 1) * flow.weight / std::max(minWeight, waiting.weight));
             if (priority > waiting.priority)
                 before += all;
             else if (customer != waiting.customer)
@@ -102,8 +102,8 @@
 {
     std::vector<Waiting> waiting;
     waiting.reserve(places_.size());
-    for (const auto &[priority, held] : classes_) {
-        for (const auto &[customer, flow] : held.flows) {
+    for (const auto &[priority, priorityClass] : classes_) {
+        for (const auto &[customer, flow] : priorityClass.flows) {
             for (const auto &[rank, request] : flow.requests)
                 waiting.push_back(request);
         }
