--- a/include/applehatch/core/admission.h
+++ b/include/applehatch/core/admission.h
@@ -10,10 +10,10 @@
 
 /// The maximum load that an upstream with `slots` may reach now.
 ///
-/// `heard` is the known load of the pool, the upstream itself included. When no other member has
+/// `knownLoad` is the load of the pool, the upstream itself included. When no other member has
 /// reported, the mean is unknown and the upstream accepts no more than it can run at once. A pool
 /// of one member has no mean to compare with, so only the length of its queue bounds it.
-[[nodiscard]] auto admissionBound(const Pool &pool, const PoolLoad &heard, std::uint32_t slots)
+[[nodiscard]] auto admissionBound(const Pool &pool, const PoolLoad &knownLoad, std::uint32_t slots)
     -> std::uint32_t;
 
 /// Exponentially weighted moving average of the time that a run occupies a slot.
--- a/include/applehatch/core/router-node.h
+++ b/include/applehatch/core/router-node.h
@@ -189,7 +189,7 @@
     UpstreamId upstream = 0;
     std::string name;
     bool chosen = false;
-    std::string reason; ///< Such as `home`, `leaving`, `at-bound`, `link-down`.
+    std::string reason; ///< Such as `token`, `leaving`, `at-bound`, `link-down`.
     std::uint32_t load = 0;
     std::uint32_t bound = 0;
 };
--- a/src/core/admission.cc
+++ b/src/core/admission.cc
@@ -15,13 +15,14 @@
 
 } // namespace
 
-auto admissionBound(const Pool &pool, const PoolLoad &heard, std::uint32_t slots) -> std::uint32_t
+auto admissionBound(const Pool &pool, const PoolLoad &knownLoad, std::uint32_t slots)
+    -> std::uint32_t
 {
     if (pool.members.size() <= 1)
         return slots + pool.queueLimit;
-    if (heard.members <= 1)
+    if (knownLoad.members <= 1)
         return std::max(1U, slots);
-    return loadBound(heard, slots, pool.loadMultiple);
+    return loadBound(knownLoad, slots, pool.loadMultiple);
 }
 
 auto ServiceTime::record(Duration run) -> void
