--- a/include/applehatch/core/answer-store.h
+++ b/include/applehatch/core/answer-store.h
@@ -1,4 +1,5 @@
-/// Answers kept with their offsets, so that a lost link or a late caller can be served again.
+/// Buffers of answers by offset. A caller can resume an answer after its link was lost or when it
+/// reconnects late.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -13,7 +14,7 @@
 
 namespace applehatch::core {
 
-/// The bytes of one answer from `base` on, and the hash of everything appended.
+/// The bytes of one answer from offset `base` on, and the hash of all bytes appended.
 class StoredAnswer
 {
 public:
@@ -24,15 +25,15 @@
 
     auto append(std::string_view data) -> void;
 
-    /// Forgets the bytes before `offset`.
+    /// Discards the bytes before `offset`.
     auto trim(std::uint64_t offset) -> void;
 
-    /// The bytes from `offset` on, which must not lie before `base()`; empty at the end.
+    /// Returns the bytes from `offset` on; empty at the end. `offset` must be at least `base()`.
     [[nodiscard]] auto from(std::uint64_t offset) const -> std::string_view;
 
     [[nodiscard]] auto base() const -> std::uint64_t { return base_; }
     [[nodiscard]] auto length() const -> std::uint64_t { return base_ + bytes_.size(); }
-    [[nodiscard]] auto kept() const -> std::size_t { return bytes_.size(); }
+    [[nodiscard]] auto storedBytes() const -> std::size_t { return bytes_.size(); }
 
     /// `stableHash` of the whole body; 0 when the answer did not begin at 0.
     [[nodiscard]] auto hash() const -> std::uint64_t;
@@ -45,15 +46,15 @@
     std::unique_ptr<Hasher> hasher_;
 };
 
-/// What is kept, at most.
+/// Limits of an `AnswerStore`.
 struct AnswerLimits
 {
-    std::size_t total = 0;          ///< Bytes of all answers.
-    std::size_t unacknowledged = 0; ///< Bytes of one unfinished answer beyond its acknowledgement.
-    Duration lifetime{0};           ///< Of a finished answer.
+    std::size_t total = 0;          ///< Bytes stored for all answers.
+    std::size_t unacknowledged = 0; ///< Unacknowledged bytes of one unfinished answer.
+    Duration lifetime{0};           ///< Time for which a finished answer is stored.
 };
 
-/// All answers of a sidecar. Answers given up are named by their return values.
+/// The answers of one sidecar by run. Functions that evict answers return their runs.
 class AnswerStore
 {
 public:
@@ -61,25 +62,26 @@
 
     auto begin(std::uint64_t run, std::uint64_t base = 0) -> void;
 
-    /// Appends to an unfinished answer. Gives the answers that had to go to keep the limits:
-    /// finished ones, oldest first; then the unfinished one with most unacknowledged bytes.
+    /// Appends to an unfinished answer and returns the runs whose answers were evicted to stay
+    /// within the limits: finished ones, oldest first; then the unfinished ones with the most
+    /// unacknowledged bytes.
     auto append(std::uint64_t run, std::string_view data) -> std::vector<std::uint64_t>;
 
     auto acknowledge(std::uint64_t run, std::uint64_t offset) -> void;
     auto finish(std::uint64_t run, Instant now) -> void;
     auto drop(std::uint64_t run) -> void;
 
-    /// Null when the answer is not kept.
+    /// Returns null when the answer is not stored.
     [[nodiscard]] auto find(std::uint64_t run) const -> const StoredAnswer *;
 
-    /// Drops the finished answers whose lifetime has passed, and names them.
+    /// Drops the finished answers whose lifetime has passed and returns their runs.
     auto expire(Instant now) -> std::vector<std::uint64_t>;
 
     [[nodiscard]] auto bytes() const -> std::size_t { return bytes_; }
     [[nodiscard]] auto unfinished(std::uint64_t run) const -> bool;
 
 private:
-    struct Held
+    struct Entry
     {
         StoredAnswer answer;
         std::uint64_t acknowledged = 0;
@@ -92,13 +94,13 @@
         Instant at;
     };
 
-    [[nodiscard]] static auto pending(const Held &held) -> std::uint64_t;
+    [[nodiscard]] static auto pending(const Entry &entry) -> std::uint64_t;
     auto makeRoom(std::vector<std::uint64_t> &dropped) -> void;
     auto trimAcknowledged() -> void;
     [[nodiscard]] auto largestPending() const -> std::uint64_t;
 
     AnswerLimits limits_;
-    std::unordered_map<std::uint64_t, Held> held_;
+    std::unordered_map<std::uint64_t, Entry> entries_;
     std::list<Finished> finished_; // Oldest first.
     std::size_t bytes_ = 0;
 };
--- a/include/applehatch/core/base64.h
+++ b/include/applehatch/core/base64.h
@@ -1,4 +1,4 @@
-/// Strict base64, as the configuration service encodes values.
+/// A strict base64 decoder for the values of the configuration service.
 #pragma once
 
 #include <optional>
@@ -7,8 +7,8 @@
 
 namespace applehatch::core {
 
-/// Decodes padded base64 of the standard alphabet; none for anything else, such as blanks, missing
-/// padding or stray bits in the last group.
+/// Decodes padded base64 of the standard alphabet. Returns `nullopt` for anything else, such as
+/// spaces, missing padding or nonzero unused bits in the last group.
 [[nodiscard]] auto decodeBase64(std::string_view text) -> std::optional<std::string>;
 
 } // namespace applehatch::core
--- a/include/applehatch/core/digest.h
+++ b/include/applehatch/core/digest.h
@@ -1,4 +1,4 @@
-/// What processes tell each other about load, leaving upstreams and crashes.
+/// Gossip digests, by which processes exchange load, upstream states and crash notices.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -8,23 +8,23 @@
 namespace applehatch::core {
 
 enum class UpstreamState : std::uint8_t {
-    Joining, ///< The sidecar runs, its upstream does not answer yet.
+    Joining, ///< The sidecar runs, but its upstream does not answer yet.
     Serving,
-    Leaving, ///< Takes no new work.
-    Down,    ///< The sidecar runs, its upstream stopped answering.
+    Leaving, ///< Accepts no new requests.
+    Down,    ///< The sidecar runs, but its upstream stopped answering.
 };
 
-/// The newest known load of one upstream. Fixed size on the wire.
+/// The newest known load of one upstream. Its size on the wire is fixed.
 struct DigestEntry
 {
     UpstreamId upstream = 0;
     Incarnation incarnation = 0;
-    std::uint32_t version = 0; ///< Rises with each change within one incarnation.
-    std::uint32_t running = 0; ///< Requests accepted and in the upstream.
-    std::uint32_t waiting = 0; ///< Requests accepted and waiting at the sidecar.
+    std::uint32_t version = 0; ///< Incremented with each change within one incarnation.
+    std::uint32_t running = 0; ///< Accepted requests that run at the upstream.
+    std::uint32_t waiting = 0; ///< Accepted requests that wait at the sidecar.
     std::uint32_t slots = 1;
     UpstreamState state = UpstreamState::Joining;
-    Duration age{0}; ///< Since the sidecar made it, as far as the sender knows.
+    Duration age{0}; ///< Time since the sidecar made the entry, as far as the sender knows.
 
     auto operator==(const DigestEntry &) const -> bool = default;
 };
@@ -33,18 +33,19 @@
 struct CrashNotice
 {
     Fingerprint fingerprint = 0;
-    UpstreamLife life;          ///< Where it happened; the same life counts once.
-    std::uint32_t sequence = 0; ///< Counts crashes within that life.
-    Duration remaining{0};      ///< Until the notice expires.
+    UpstreamLife life;          ///< Where the crash happened; one incarnation counts once.
+    std::uint32_t sequence = 0; ///< Number of the crash within that incarnation.
+    Duration remaining{0};      ///< Time until the notice expires.
 
     auto operator==(const CrashNotice &) const -> bool = default;
 };
 
-/// The load of a pool's members in one data centre; all that crosses between data centres.
+/// The total load of a pool's members in one data centre. Between data centres, large pools
+/// exchange only these sums.
 struct PoolSum
 {
     std::uint64_t pool = 0;       ///< Hash of `team/pool`.
-    std::uint64_t dataCenter = 0; ///< Hash of its name.
+    std::uint64_t dataCenter = 0; ///< Hash of the data centre's name.
     std::uint32_t version = 0;
     std::uint32_t members = 0;
     std::uint32_t load = 0;
@@ -54,7 +55,7 @@
     auto operator==(const PoolSum &) const -> bool = default;
 };
 
-/// One digest message; capped in bytes by its sender.
+/// One digest message. Its sender limits its size in bytes.
 struct Digest
 {
     SettingsIndex settingsIndex = 0;
--- a/include/applehatch/core/error.h
+++ b/include/applehatch/core/error.h
@@ -1,4 +1,4 @@
-/// The closed list of error kinds and the table from kind to answer.
+/// The error kinds and the HTTP answer to each.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -10,71 +10,71 @@
 
 namespace applehatch::core {
 
-/// Everything that a caller can be told went wrong.
+/// Every kind of error that is reported to callers.
 enum class ErrorKind {
-    BadRequest = 1, ///< The request cannot be read, or a header is out of range.
+    BadRequest = 1, ///< The request is malformed or a header is out of range.
     BodyTooLarge,
     UnknownCustomer,
     UnknownModel,
     UnknownPath,
     Unauthorized,
-    DeadlineUnmeetable, ///< Refused on arrival: the queue would outlast the deadline.
+    DeadlineUnmeetable, ///< Refused because the queue would outlast the deadline.
     DeadlineExceeded,
-    Overloaded, ///< Every candidate is at its bound or its queue is full.
+    Overloaded, ///< Every candidate is at its load bound or its queue is full.
     CustomerLimit,
-    NoUpstream, ///< No live member could be reached.
+    NoUpstream, ///< No live pool member could be reached.
     UpstreamLeaving,
-    UpstreamFailed, ///< The upstream answered with a failure or broke off.
+    UpstreamFailed, ///< The upstream answered with a failure or closed the answer early.
     UpstreamCrashed,
-    CrashSuspect,   ///< This request crashed upstreams before; final.
+    CrashSuspect,   ///< This request crashed upstreams before; not retried.
     AnswerLost,     ///< The answer can no longer be resumed.
-    OutcomeUnknown, ///< A run-once request may have run; never run again.
+    OutcomeUnknown, ///< A run-once request may have run and is not run again.
     TicketExpired,
-    KeyReused,        ///< The idempotency key was used with another body.
-    ResendWindow,     ///< The key's upstream restarted; refused until the window has passed.
-    StaleIncarnation, ///< Addressed to an earlier life of the sidecar.
+    KeyReused,        ///< The idempotency key was used with another request body.
+    ResendWindow,     ///< The key's upstream restarted; refused until the resend window has passed.
+    StaleIncarnation, ///< Addressed to an earlier incarnation of the sidecar.
     Revoked,
     Draining, ///< This router is stopping.
     NotReady, ///< No settings are in force yet.
     Internal,
 };
 
-/// What is known about whether the request ran at an upstream.
+/// Whether a request ran at an upstream, as far as is known.
 enum class Run {
     NotRun,
     Ran,
     Unknown,
 };
 
-/// How one kind is told to a caller.
+/// The HTTP answer to one kind of error.
 struct ErrorAnswer
 {
     ErrorKind kind;
     int status;            ///< HTTP status.
     std::string_view name; ///< `kind` in the problem document, such as `deadline-exceeded`.
     std::string_view title;
-    bool retryElsewhere; ///< A router may try another upstream when the run is `NotRun`.
-    bool mayRepeat;      ///< The caller may send it again after `Retry-After`.
+    bool retryElsewhere; ///< A router may try another upstream if the request is `NotRun`.
+    bool mayRepeat;      ///< The caller may send the request again after `Retry-After`.
 };
 
-/// A failure on its way to a caller.
+/// The failure of a request, as reported to its caller.
 struct Failure
 {
     ErrorKind kind = ErrorKind::Internal;
     Run run = Run::NotRun;
-    std::string detail; ///< For people; never parsed.
+    std::string detail; ///< Human-readable; never parsed.
     std::optional<Duration> retryAfter;
 
     auto operator==(const Failure &) const -> bool = default;
 };
 
-/// The row of the table for a kind.
+/// Returns the answer to errors of `kind`; that of `Internal` for a value outside the enumeration.
 [[nodiscard]] auto answerFor(ErrorKind kind) -> const ErrorAnswer &;
 
-/// `not-run`, `ran` or `unknown`.
+/// Returns `not-run`, `ran` or `unknown`.
 [[nodiscard]] auto runName(Run run) -> std::string_view;
 
-/// The category of `ErrorKind` codes; its messages are the table's titles.
+/// The category of `ErrorKind` codes. Its messages are the titles of the answers.
 [[nodiscard]] auto errorCategory() -> const std::error_category &;
 
 [[nodiscard]] auto make_error_code(ErrorKind kind) -> std::error_code;
--- a/include/applehatch/core/expiring-map.h
+++ b/include/applehatch/core/expiring-map.h
@@ -13,7 +13,7 @@
 
 namespace applehatch::core {
 
-/// Holds at most `capacity` values; the one put longest ago gives way to a new one.
+/// Holds at most `capacity` values; a new value evicts the one that was put first.
 template <typename Value>
 class ExpiringMap
 {
@@ -22,7 +22,7 @@
         : capacity_(capacity)
     { }
 
-    /// Sets the value of `key` and makes it the newest.
+    /// Sets the value of `key`, makes it the newest and lets it expire at `until`.
     auto put(std::uint64_t key, Value value, Instant until) -> void
     {
         erase(key);
@@ -32,7 +32,8 @@
             evictOldest();
     }
 
-    /// The value of `key` when it has not expired; valid until the next change.
+    /// Returns the value of `key`, or null if it is missing or expired. The pointer is valid until
+    /// the map changes.
     [[nodiscard]] auto find(std::uint64_t key, Instant now) const -> const Value *
     {
         const auto found = index_.find(key);
@@ -58,15 +59,16 @@
         entries_.remove_if([now](const Entry &entry) { return entry.until <= now; });
     }
 
-    /// Drops expired values among about `most`, going on where the last call stopped.
+    /// Drops expired values in at most `maxBuckets` hash buckets, continuing where the last call
+    /// stopped.
     ///
-    /// Going through a large map at once holds the lock of its owner so long that streams stutter.
-    /// What a growing map moves behind the place reached is visited in the next round.
-    auto expireSome(Instant now, std::size_t most) -> void
+    /// A scan of a whole large map would hold its owner's lock long enough to delay streams. A
+    /// value that a rehash moves behind the current position is visited in the next round.
+    auto expireSome(Instant now, std::size_t maxBuckets) -> void
     {
         std::vector<std::uint64_t> expired;
         const auto buckets = index_.bucket_count();
-        for (std::size_t visited = 0; visited < std::min(most, buckets); ++visited) {
+        for (std::size_t visited = 0; visited < std::min(maxBuckets, buckets); ++visited) {
             visitedBucket_ = visitedBucket_ + 1 < buckets ? visitedBucket_ + 1 : 0;
             for (auto item = index_.begin(visitedBucket_); item != index_.end(visitedBucket_);
                  ++item) {
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Up to `count` keys, newest first.
+    /// Returns up to `count` keys, newest first.
     [[nodiscard]] auto newest(std::size_t count) const -> std::vector<std::uint64_t>
     {
         std::vector<std::uint64_t> keys;
@@ -100,7 +102,8 @@
 
     [[nodiscard]] auto size() const -> std::size_t { return entries_.size(); }
 
-    /// Until when a missing key may be one that gave way to another before it expired.
+    /// The latest expiry of any value evicted before it expired. Until then a missing key may be an
+    /// evicted one.
     [[nodiscard]] auto forgottenUntil() const -> Instant { return forgottenUntil_; }
 
 private:
@@ -121,7 +124,7 @@
     std::size_t capacity_;
     std::list<Entry> entries_; // Oldest first.
     std::unordered_map<std::uint64_t, typename std::list<Entry>::iterator> index_;
-    std::size_t visitedBucket_ = 0; // The last one that `expireSome` visited.
+    std::size_t visitedBucket_ = 0; // The last bucket that `expireSome` visited.
     Instant forgottenUntil_;
 };
 
--- a/include/applehatch/core/gossip.h
+++ b/include/applehatch/core/gossip.h
@@ -1,4 +1,4 @@
-/// What goes into one digest, and what is known of other data centres only as a sum.
+/// The contents of digests, and the load sums of other data centres.
 #pragma once
 
 #include "applehatch/core/crash-book.h"
@@ -11,14 +11,14 @@
 
 namespace applehatch::core {
 
-/// Sums of pools by data centre, with expiry.
+/// The load sums of pools by data centre. Sums expire.
 class PoolSums
 {
 public:
-    /// Takes sums that are younger than those held.
+    /// Stores the sums that are newer than those stored.
     auto apply(const std::vector<PoolSum> &sums, Instant now) -> void;
 
-    /// The sums of `pool` in all data centres but `ownDataCenter`.
+    /// Returns the sums of `pool` in all data centres except `ownDataCenter`.
     [[nodiscard]] auto others(std::uint64_t pool, std::uint64_t ownDataCenter, Instant now) const
         -> std::vector<PoolSum>;
 
@@ -27,70 +27,73 @@
 private:
     using Key = std::pair<std::uint64_t, std::uint64_t>; // Pool, data centre.
 
-    std::map<Key, std::pair<PoolSum, Instant>> held_;
+    std::map<Key, std::pair<PoolSum, Instant>> entries_;
 };
 
-/// Whose digest is made.
+/// The pool and the process for which a digest is composed.
 struct GossipView
 {
     const Pool &pool;
     UpstreamId self;
     std::string dataCenter;
     SettingsIndex settingsIndex;
-    std::size_t bytes; ///< Largest datagram.
+    std::size_t bytes; ///< Maximum size of a digest datagram.
 };
 
-/// Whom a digest is for.
+/// The recipient of a digest.
 struct DigestReader
 {
-    bool isNear = true;             ///< In the sender's data centre; else gets sums of large pools.
-    std::size_t mostEntries = 1000; ///< The datagram holds fewer.
-    std::vector<DigestEntry> known; ///< What it told when it asked; newer entries only go back.
+    bool isNear = true;             ///< Others get only sums of large pools.
+    std::size_t maxEntries = 1000;  ///< The datagram holds fewer than the default.
+    std::vector<DigestEntry> known; ///< Entries in its request; only newer ones are returned.
 };
 
-/// Whether single entries of the whole pool fit one digest. Larger pools send only sums to other
-/// data centres; else the traffic between them would grow with the product of their sizes.
+/// Returns whether the entries of all members of the pool fit in one digest. Larger pools send only
+/// sums to other data centres; otherwise the traffic between data centres would grow with the
+/// product of their sizes.
 [[nodiscard]] auto fitsOneDigest(const GossipView &view) -> bool;
 
-/// The load of the pool's members in the sender's data centre.
+/// Returns the total load of the pool's members in the sender's data centre.
 [[nodiscard]] auto ownSum(const GossipView &view, const LoadTable &loads, Instant now) -> PoolSum;
 
-/// A digest with entries of the view's pool: its own first, then newest first.
+/// Composes a digest with entries of the view's pool: the sender's own first, then newest first.
 [[nodiscard]] auto composeDigest(const GossipView &view, const LoadTable &loads,
                                  const PoolSums &sums, const CrashBook &crashes,
                                  const DigestReader &reader, Instant now) -> Digest;
 
-/// The pool's load from single entries, plus the sums of data centres without any.
+/// Returns the pool's load from the entries of its members, plus the sums of data centres that have
+/// no entry.
 [[nodiscard]] auto wholePoolLoad(const GossipView &view, const LoadTable &loads,
                                  const PoolSums &sums, Instant now) -> PoolLoad;
 
-/// Upper limit of a digest's packed bytes.
+/// Returns an upper bound of the packed size of `digest` in bytes.
 [[nodiscard]] auto digestSize(const Digest &digest) -> std::size_t;
 
-/// Bytes a second that replies to digests may take.
+/// Limits the bytes per second of digest replies.
 ///
-/// Every router asks a random sidecar each second. With many routers before few upstreams the
-/// replies would grow with the routers' number; those beyond the budget are left out, and the
-/// asker hears from another member or asks again.
+/// Every router queries a random sidecar each second. With many routers and few upstreams, reply
+/// traffic would grow with the number of routers. Replies beyond the budget are not sent; the
+/// router gets the load from another member or queries again.
 class ReplyBudget
 {
 public:
     explicit ReplyBudget(std::size_t bytesPerSecond);
 
-    /// False when the budget does not hold `bytes` more now.
+    /// Takes `bytes` from the budget; returns false if fewer are available.
     [[nodiscard]] auto spend(std::size_t bytes, Instant now) -> bool;
 
 private:
-    double perSecond_;
-    double left_;
-    Instant filledAt_;
+    double bytesPerSecond_;
+    double availableBytes_;
+    Instant refilledAt_;
 };
 
-/// Own entry first, then the freshest others.
+/// Returns up to `count` entries: that of `self` first, then the newest others.
 [[nodiscard]] auto freshestFrom(UpstreamId self, const LoadTable &loads, std::size_t count,
                                 Instant now) -> std::vector<DigestEntry>;
 
-/// Serving members other than `self`, least loaded per slot first; own entry last.
+/// Returns up to `count` entries: serving members other than the view's own, lowest load per slot
+/// first, and the own entry last.
 [[nodiscard]] auto betterCandidates(const GossipView &view, const LoadTable &loads,
                                     std::size_t count, Instant now) -> std::vector<DigestEntry>;
 
--- a/include/applehatch/core/listening-clock.h
+++ b/include/applehatch/core/listening-clock.h
@@ -1,4 +1,4 @@
-/// The time in which this process was able to hear others.
+/// A clock for timeouts on peers that does not count stalls of this process.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -9,35 +9,35 @@
 
 namespace applehatch::core {
 
-/// A clock that stands still while this process is held up.
+/// A clock that does not advance while this process is stalled.
 ///
-/// What others sent meanwhile lies unread, so by any other clock all of them would have been silent
-/// together; one would see a short pause end in a storm of new connections.
+/// Messages that arrive during a stall are unread when it ends. With an ordinary clock all peers
+/// would time out together, and a short stall would cause a burst of new connections.
 class ListeningClock
 {
 public:
-    /// Most that counts between two looks.
+    /// Maximum advance between two calls of `recordPoll`.
     static constexpr Duration longestStep = std::chrono::milliseconds(200);
 
-    /// All that had arrived by `now` was looked at.
+    /// Records that everything received by `now` has been read.
     auto look(Instant now) -> void
     {
         reading_ = at(now);
-        lookedAt_ = now;
+        polledAt_ = now;
     }
 
-    /// The reading at `now`; the first one starts it.
+    /// Returns the clock's reading at `now`. The first call starts the clock.
     [[nodiscard]] auto at(Instant now) -> Instant
     {
-        if (!lookedAt_) {
-            lookedAt_ = now;
+        if (!polledAt_) {
+            polledAt_ = now;
             reading_ = now;
         }
-        return reading_ + std::clamp(Duration(now - *lookedAt_), Duration(0), longestStep);
+        return reading_ + std::clamp(Duration(now - *polledAt_), Duration(0), longestStep);
     }
 
 private:
-    std::optional<Instant> lookedAt_;
+    std::optional<Instant> polledAt_;
     Instant reading_;
 };
 
--- a/include/applehatch/core/log-line.h
+++ b/include/applehatch/core/log-line.h
@@ -1,4 +1,4 @@
-/// One event as key=value pairs.
+/// Log lines of key=value pairs.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +11,8 @@
 
 /// Builds `event=NAME key=value ...` on one line.
 ///
-/// A value with a space, quote, equals sign or control character is quoted and escaped; without
-/// this a caller could forge a line with a newline in a header.
+/// A value that is empty or has a space, quote, backslash, equals sign or control character is
+/// quoted and escaped. Otherwise a caller could forge a log line with a newline in a header.
 class LogLine
 {
 public:
--- a/include/applehatch/core/membership.h
+++ b/include/applehatch/core/membership.h
@@ -1,4 +1,4 @@
-/// The platform's list of hosts as this process last read it.
+/// The platform's host list as last read by this process.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -13,7 +13,7 @@
     Leaving,
 };
 
-/// One line of the platform's lagging list.
+/// One entry of the platform's host list, which lags behind the real state.
 struct Host
 {
     std::string ip;
@@ -22,7 +22,8 @@
     auto operator==(const Host &) const -> bool = default;
 };
 
-/// A reading of the list; an empty one is treated as unknown, never as "no hosts".
+/// One reading of the host list. An empty list means that the hosts are unknown, never that there
+/// are none.
 struct HostList
 {
     std::uint64_t version = 0;
--- a/include/applehatch/core/message.h
+++ b/include/applehatch/core/message.h
@@ -1,4 +1,4 @@
-/// The messages between the system's own processes, independent of how they are carried.
+/// Messages between the processes of the system, independent of the transport.
 #pragma once
 
 #include "applehatch/core/digest.h"
@@ -26,7 +26,7 @@
     bool stream = false; ///< The caller asked for server-sent events.
 };
 
-/// What a request is, apart from its call.
+/// Attributes of a request by which it is routed and admitted.
 struct Terms
 {
     std::string team;
@@ -35,61 +35,62 @@
     std::string model; ///< Empty for a plain service.
     ChatKey chat = 0;
     Fingerprint fingerprint = 0;
-    int priority = 0;           ///< 0 to 9; larger goes first.
-    std::string idempotencyKey; ///< Empty when the caller sent none.
-    bool runOnce = false;       ///< Runs at most once, whatever happens.
-    bool firstSend = false;     ///< The caller states that it never sent this key before.
+    int priority = 0;           ///< 0 to 9; higher priorities run first.
+    std::string idempotencyKey; ///< Empty if the caller sent no key.
+    bool runOnce = false;       ///< Must never run more than once.
+    bool firstSend = false;     ///< The caller asserts that it has not sent this key before.
 };
 
-/// Router to sidecar: run this.
+/// Router to sidecar: run a request.
 ///
-/// `notAfter` is a reading of the receiving sidecar's clock, reckoned by the router from the last
-/// `Heartbeat` on the same link. A router that slept and sends an old attempt is thus refused
-/// although the two clocks have nothing in common.
+/// `notAfter` is a time on the receiving sidecar's clock, which the router computes from the last
+/// `Heartbeat` on the same link. An outdated attempt from a router that was suspended is therefore
+/// refused, although the two clocks are not synchronized.
 struct Submit
 {
     RequestId request;
     std::uint32_t attempt = 0;
-    Incarnation target = 0; ///< Refused by any other life; 0 accepts any.
+    Incarnation target = 0; ///< Any other incarnation refuses; 0 matches any.
     Instant notAfter;
     Terms terms;
     Call call;
-    UpstreamId movedFrom = 0; ///< The home that refused this chat; 0 when none did.
+    UpstreamId movedFrom = 0; ///< The owner that refused this chat; 0 if none did.
     std::vector<DigestEntry> loads;
-    bool mayWait = false; ///< No other upstream has room: wait for it here rather than be refused.
+    bool mayWait = false; ///< Queue the request instead of refusing it: no other upstream has room.
 };
 
 /// Router to sidecar: do not run this attempt, or stop it.
 ///
-/// Without `target` a sidecar that restarted lately cannot tell whether its earlier life ran the
-/// attempt, and answers `Run::Unknown` for one that it does not know.
+/// Without `target`, a recently restarted sidecar cannot know whether its earlier incarnation ran
+/// an attempt that it has no record of, and answers `Run::Unknown`.
 struct Revoke
 {
     RequestId request;
     std::uint32_t attempt = 0;
-    Incarnation target = 0; ///< The life that the attempt was addressed to; 0 when unknown.
+    Incarnation target = 0; ///< The incarnation that the attempt was addressed to; 0 if unknown.
 };
 
-/// Router to sidecar: send the answer again from `offset`, or say what became of the request.
+/// Router to sidecar: send the answer again from `offset`, or report the outcome of the request.
 struct Resume
 {
     RequestId request;
-    std::string customer; ///< `team/customer`; another customer's answer is never given out.
+    std::string
+        customer; ///< `team/customer`; the answer is sent only to the customer it belongs to.
     std::uint64_t offset = 0;
 };
 
-/// Router to sidecar: the caller has everything before `offset`.
+/// Router to sidecar: the caller has received all bytes before `offset`.
 struct Acknowledge
 {
     RequestId request;
     std::uint64_t offset = 0;
-    bool finished = false; ///< The whole answer arrived; nothing of it need be kept.
+    bool finished = false; ///< The whole answer arrived and can be discarded.
 };
 
-/// Either way while anything is outstanding; the sidecar's carries its clock.
+/// Sent in both directions while requests are outstanding. A sidecar's heartbeat carries its clock.
 struct Heartbeat
 {
-    Incarnation incarnation = 0; ///< The sidecar's; 0 from a router.
+    Incarnation incarnation = 0; ///< Incarnation of the sidecar; 0 from a router.
     Instant clock;               ///< The sidecar's clock at sending; meaningless from a router.
 };
 
@@ -100,8 +101,8 @@
     std::uint32_t attempt = 0;
     int status = 200;
     Headers headers;
-    bool replayed = false; ///< From the record of an earlier run.
-    bool warm = false;     ///< The chat's context was found here.
+    bool replayed = false; ///< The answer was recorded in an earlier run.
+    bool warm = false;     ///< The chat's context was in the upstream's cache.
 };
 
 /// Sidecar to router: a part of the answer.
@@ -112,22 +113,22 @@
     std::string data;
 };
 
-/// Sidecar to router: the answer is whole.
+/// Sidecar to router: the answer is complete.
 struct End
 {
     RequestId request;
     std::uint64_t length = 0;
-    std::uint64_t hash = 0; ///< `stableHash` of the whole body; 0 when not all of it passed here.
+    std::uint64_t hash = 0; ///< `stableHash` of the body; 0 if the sidecar did not see all of it.
     std::vector<DigestEntry> loads;
 };
 
-/// Sidecar to router: this attempt is over without a whole answer.
+/// Sidecar to router: this attempt ended without a complete answer.
 struct Refusal
 {
     RequestId request;
     std::uint32_t attempt = 0;
     Failure failure;
-    UpstreamId redirect = 0;        ///< Where this chat's context went; 0 when unknown.
+    UpstreamId redirect = 0;        ///< Upstream that has this chat's context; 0 if unknown.
     std::vector<DigestEntry> loads; ///< Better candidates first.
 };
 
@@ -139,23 +140,23 @@
     Run run = Run::NotRun;
 };
 
-/// Sidecar to the sidecar of a chat's home: its context is now with `holder`.
+/// Sidecar to the sidecar of a chat's owner: the chat's context is now at `holder`.
 struct Moved
 {
     ChatKey chat = 0;
     UpstreamId holder = 0;
 };
 
-/// Asks a peer for subtrees newer than those held.
+/// Requests settings subtrees from a peer that are newer than those of the sender.
 struct SettingsPull
 {
-    std::map<std::string, SettingsIndex> held; ///< Team to index in force; empty when `brief`.
-    bool brief = false;                        ///< `since` and `hash` stand for `held`.
-    SettingsIndex since = 0;                   ///< Everything up to here was offered to the asker.
-    std::uint64_t hash = 0;                    ///< Over all teams and indices held, in any order.
+    std::map<std::string, SettingsIndex> held; ///< Index in force by team; empty if `brief`.
+    bool brief = false;      ///< `since` and `hash` are sent instead of `knownIndices`.
+    SettingsIndex since = 0; ///< The sender was offered every text up to this index.
+    std::uint64_t hash = 0;  ///< Hash of all teams and their indices, independent of order.
 };
 
-/// One team's last accepted text.
+/// The text of one team's settings subtree.
 struct SettingsText
 {
     std::string team;
@@ -163,12 +164,12 @@
     std::shared_ptr<const std::string> text; ///< Null when the subtree was removed.
 };
 
-/// Answers a `SettingsPull`.
+/// The answer to a `SettingsPull`.
 struct SettingsReply
 {
     SettingsIndex index = 0;
     std::vector<SettingsText> texts;
-    bool differs = false; ///< After `texts`, the asker of a brief pull may still hold others.
+    bool differs = false; ///< Indices of the sender of a brief pull may differ even after `texts`.
 };
 
 using Message = std::variant<Submit, Revoke, Resume, Acknowledge, Heartbeat, Head, Chunk, End,
--- a/include/applehatch/core/run-once-table.h
+++ b/include/applehatch/core/run-once-table.h
@@ -1,4 +1,4 @@
-/// Which idempotency keys ran here, and what they answered.
+/// Idempotency keys that ran at this sidecar, and their recorded answers.
 #pragma once
 
 #include "applehatch/core/message.h"
@@ -11,7 +11,7 @@
 
 namespace applehatch::core {
 
-/// A whole answer as it was given the first time.
+/// The complete answer of a key's first run.
 struct RecordedAnswer
 {
     int status = 200;
@@ -19,13 +19,13 @@
     std::string body;
 };
 
-/// What is known of a key.
+/// The state of one key.
 struct RunOnceEntry
 {
     enum class State {
-        Active,   ///< Waiting or running as `run`.
-        Answered, ///< Ran; `answer` is null when its bytes had to go.
-        Unknown,  ///< May have run; never runs again.
+        Active,   ///< Waits or runs as `run`.
+        Answered, ///< Ran; `answer` is null if it was evicted.
+        Unknown,  ///< May have run and must not run again.
     };
 
     Fingerprint fingerprint = 0;
@@ -34,39 +34,39 @@
     std::shared_ptr<const RecordedAnswer> answer;
 };
 
-/// Keys of all customers, bounded in number and in recorded bytes.
+/// Keys of all customers, limited in number and in bytes of recorded answers.
 ///
-/// A live key never gives way to a new one: it would run twice when its caller sends it again.
+/// A live key is never evicted for a new one: it would run twice if its caller sent it again.
 class RunOnceTable
 {
 public:
-    RunOnceTable(std::size_t keys, std::size_t answerBytes);
+    RunOnceTable(std::size_t maxKeys, std::size_t maxAnswerBytes);
 
-    /// The name of a customer's key within the table.
+    /// Returns the name in the table of a customer's idempotency key.
     [[nodiscard]] static auto nameOf(const Terms &terms) -> std::string;
 
-    /// Null for a key that is not held.
+    /// Returns null if the key is not in the table.
     [[nodiscard]] auto find(const std::string &name) const -> const RunOnceEntry *;
 
-    /// Enters a new key as active; false when the table is full of live keys.
+    /// Adds a new key as active; returns false if the table is full of live keys.
     [[nodiscard]] auto begin(const std::string &name, Fingerprint fingerprint, std::uint64_t run,
                              Instant now) -> bool;
 
-    /// The key's run ended whole; it is held until `until`.
+    /// Records the complete answer of the key's run. The key expires at `until`.
     auto record(const std::string &name, RecordedAnswer answer, Instant until) -> void;
 
-    /// The key's run ended, nobody knows how; it is held until `until`.
+    /// Records that the outcome of the key's run is unknown. The key expires at `until`.
     auto markUnknown(const std::string &name, Instant until) -> void;
 
-    /// The key never began to run.
+    /// Removes an active key that did not run.
     auto forget(const std::string &name) -> void;
 
     auto expire(Instant now) -> void;
 
-    [[nodiscard]] auto size() const -> std::size_t { return held_.size(); }
+    [[nodiscard]] auto size() const -> std::size_t { return entries_.size(); }
 
 private:
-    struct Held
+    struct ExpiringEntry
     {
         RunOnceEntry entry;
         Instant until = Instant::max();
@@ -74,11 +74,11 @@
 
     auto makeRoom() -> void;
 
-    std::size_t keys_;
-    std::size_t answerBytes_;
+    std::size_t maxKeys_;
+    std::size_t maxAnswerBytes_;
     std::size_t bytes_ = 0;
-    std::unordered_map<std::string, Held> held_;
-    std::list<std::string> answered_; // With recorded bytes, oldest first.
+    std::unordered_map<std::string, ExpiringEntry> entries_;
+    std::list<std::string> answered_; // Names of keys with a recorded answer, oldest first.
 };
 
 } // namespace applehatch::core
--- a/include/applehatch/core/run-once.h
+++ b/include/applehatch/core/run-once.h
@@ -1,4 +1,4 @@
-/// How run-once keys are named on the way from router to sidecar.
+/// The encoding of run-once tickets as idempotency keys between router and sidecar.
 #pragma once
 
 #include "applehatch/core/message.h"
@@ -9,16 +9,17 @@
 
 namespace applehatch::core {
 
-/// What `Terms::idempotencyKey` holds for a request with a ticket.
+/// Returns the `Terms::idempotencyKey` of a request with a ticket.
 ///
-/// It begins with a control character, which no HTTP header can carry; otherwise a caller could
-/// send a key that passes for a ticket and so escape the resend window.
+/// The key begins with a control character, which no HTTP header can contain. Otherwise a caller
+/// could send a key that looks like a ticket and bypass the resend window.
 [[nodiscard]] auto ticketKey(const Ticket &ticket) -> std::string;
 
-/// When the ticket expires on the sidecar's clock; none when `key` is not a ticket's.
+/// Returns the expiry of the ticket on the sidecar's clock, or `nullopt` if `key` is not a
+/// ticket's.
 [[nodiscard]] auto ticketKeyExpiry(const std::string &key) -> std::optional<Instant>;
 
-/// The key that `rendezvousOwner` takes for a request with an idempotency key.
+/// Returns the hash by which `rendezvousOwner` chooses the owner of an idempotency key.
 [[nodiscard]] auto runOnceHash(const Terms &terms) -> std::uint64_t;
 
 } // namespace applehatch::core
--- a/include/applehatch/core/settings-replica.h
+++ b/include/applehatch/core/settings-replica.h
@@ -1,4 +1,5 @@
-/// Which version of each team's subtree is in force in this process, and who reads the service.
+/// The replica of the settings in one process: which version of each team's subtree is in force,
+/// and when the configuration service or a peer is queried.
 #pragma once
 
 #include "applehatch/core/load-table.h"
@@ -14,23 +15,23 @@
 
 namespace applehatch::core {
 
-/// Everything the configuration service holds, as one recursive read gave it.
+/// The result of one recursive read of the configuration service.
 struct SettingsRead
 {
     SettingsIndex index = 0;
     std::vector<SettingsText> texts;
-    bool unchanged = false; ///< A watch ended at the index it waited on; `texts` is empty.
+    bool unchanged = false; ///< A watch ended without a change of the index; `texts` is empty.
 };
 
-/// The service did not answer.
+/// The configuration service did not answer.
 struct SettingsReadFailed
 { };
 
-/// A digest or a peer showed that `index` exists.
+/// A digest or a peer advertised `index`.
 struct SettingsIndexHeard
 {
     SettingsIndex index = 0;
-    UpstreamId from = 0; ///< The sidecar that has it, where the host can tell; asked first.
+    UpstreamId from = 0; ///< The sidecar that has the index, if known; queried first.
 };
 
 struct SettingsTick
@@ -39,26 +40,27 @@
 using SettingsEvent = std::variant<SettingsRead, SettingsReadFailed, SettingsReply, SettingsPull,
                                    SettingsIndexHeard, HostListRead, SettingsTick>;
 
-/// Read the whole tree; with `waitFor`, only once its index exceeds it (a watch).
+/// Read the whole tree. With `waitFor` this is a watch, which returns once the tree's index exceeds
+/// `waitFor`.
 struct ReadService
 {
     std::optional<SettingsIndex> waitFor;
 };
 
-/// Send a pull to a peer; 0 lets the host choose a peer from its bootstrap list.
+/// Send a pull to `peer`; with 0 the host chooses a peer from its bootstrap list.
 struct PullFromPeer
 {
     UpstreamId peer = 0;
     SettingsPull pull;
 };
 
-/// Answer the pull being handled.
+/// Answer the pull that is being handled.
 struct AnswerPull
 {
     SettingsReply reply;
 };
 
-/// New settings are in force: hand them to the node.
+/// New settings are in force: pass them to the node.
 struct PutInForce
 {
     SettingsPtr settings;
@@ -66,32 +68,33 @@
 
 using SettingsAction = std::variant<ReadService, PullFromPeer, AnswerPull, PutInForce, WriteLog>;
 
-/// What operators are shown of one subtree.
+/// The status of one subtree, as shown to operators.
 struct SubtreeStatus
 {
     std::string team;
     SettingsIndex inForce = 0;
     Instant since;
-    SettingsIndex refused = 0;               ///< 0 when the newest text was accepted.
-    std::vector<settings::Problem> problems; ///< Why it was refused.
+    SettingsIndex refused = 0; ///< Index of the refused newest text; 0 if the newest was accepted.
+    std::vector<settings::Problem> problems; ///< Reasons for the refusal.
 };
 
-/// Checks a subtree; must be pure, so that all processes agree on what is accepted.
+/// Parses and checks a subtree. Must be a pure function, so that all processes accept the same
+/// texts.
 using ParseHook = std::function<settings::ParseResult(const std::string &team,
                                                       const std::string &text, SettingsIndex)>;
 
-/// Who this process is among the readers.
+/// Identity and configuration of a replica.
 struct ReplicaIdentity
 {
-    UpstreamId self = 0; ///< 0 for a router, which reads directly only when peers are silent.
+    UpstreamId self = 0; ///< 0 for a router, which reads the service only if peers do not answer.
     std::string dataCenter;
     std::uint64_t seed = 0;
     std::size_t readersPerDataCenter = 2;
-    std::vector<UpstreamId> peers; ///< Asked before any settings are known; may be empty.
+    std::vector<UpstreamId> peers; ///< Queried before any settings are known; may be empty.
     ParseHook parse = settings::parseTeam;
 };
 
-/// Keeps each subtree at the newest accepted text; an index in force never falls.
+/// Keeps each subtree at the newest accepted text. The index in force never decreases.
 class SettingsReplica
 {
 public:
--- a/include/applehatch/core/sidecar-node.h
+++ b/include/applehatch/core/sidecar-node.h
@@ -1,4 +1,4 @@
-/// The sidecar's decisions: the authority for its upstream.
+/// The decision logic of a sidecar, which has sole authority over its upstream.
 #pragma once
 
 #include "applehatch/core/load-table.h"
@@ -15,10 +15,10 @@
 
 namespace applehatch::core {
 
-/// One connection from a router or another sidecar; numbered by the host, never reused.
+/// A connection from a router or another sidecar. Numbered by the host; numbers are not reused.
 using LinkId = std::uint64_t;
 
-/// One run of one request at the upstream; numbered by the node.
+/// One run of a request at the upstream. Numbered by the node.
 using RunId = std::uint64_t;
 
 struct PeerLinkUp
@@ -31,7 +31,8 @@
     LinkId link = 0;
 };
 
-/// The process at the other end took what was sent to it. The host need not tell each time.
+/// The process at the other end received what was sent to it. The host may report only some of
+/// these.
 struct PeerResponded
 {
     LinkId link = 0;
@@ -43,7 +44,7 @@
     Message message;
 };
 
-/// The upstream's answer began.
+/// The upstream began to answer.
 struct RunHead
 {
     RunId run = 0;
@@ -58,18 +59,18 @@
     std::string data;
 };
 
-/// The upstream said that its answer is whole.
+/// The upstream marked its answer as complete.
 struct RunEnd
 {
     RunId run = 0;
 };
 
-/// How a run ended without a whole answer.
+/// The reason why a run ended without a complete answer.
 enum class RunBreak {
-    NeverSent,  ///< No connection could be made: it did not run.
-    Lost,       ///< The connection broke after sending: it may have run.
+    NeverSent,  ///< No connection could be made, so the request did not run.
+    Lost,       ///< The connection broke after sending, so the request may have run.
     EndedEarly, ///< The upstream closed the answer before its end marker.
-    Silent,     ///< No byte for longer than the upstream ever pauses.
+    Silent,     ///< No byte arrived for longer than the upstream's longest pause.
 };
 
 struct RunBroken
@@ -78,18 +79,18 @@
     RunBreak how = RunBreak::Lost;
 };
 
-/// What the upstream says of itself, polled by the host.
+/// The status of the upstream, polled by the host.
 struct UpstreamReport
 {
     bool reachable = false;
     std::string epoch; ///< Changes when the upstream process restarts.
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
-    std::vector<std::string> models; ///< What it holds.
-    std::uint64_t fence = 0;         ///< Highest fencing number it has seen; 0 when it keeps none.
+    std::vector<std::string> models; ///< Models that are loaded.
+    std::uint64_t fence = 0; ///< Highest fencing number seen by the upstream; 0 if it keeps none.
 };
 
-/// Late and gappy word from the engine about its prefix cache.
+/// Events of the engine's prefix cache, which may be late and have gaps.
 struct CacheEvents
 {
     std::vector<ChatKey> stored;
@@ -97,7 +98,7 @@
     bool gap = false; ///< Events before these were lost.
 };
 
-/// An order to the engine was answered.
+/// The engine answered an order.
 struct OrderAnswered
 {
     std::uint64_t fence = 0;
@@ -105,7 +106,7 @@
     std::string detail;
 };
 
-/// KV cache of a chat arrived at, or was refused by, its next home.
+/// The KV cache of a chat was imported or refused by `to`.
 struct HandoffDone
 {
     ChatKey chat = 0;
@@ -118,27 +119,28 @@
                  RunBroken, UpstreamReport, CacheEvents, OrderAnswered, HandoffDone, DigestReceived,
                  SettingsInForce, HostListRead, Tick, DrainRequested>;
 
-/// Carry `message` over an open link.
+/// Send `message` over an open link.
 struct SendToPeer
 {
     LinkId link = 0;
     Message message;
 };
 
-/// Close a link that went silent. A `PeerLinkDown` is not reported for it.
+/// Close a link that timed out. No `PeerLinkDown` is reported for this link.
 struct ClosePeer
 {
     LinkId link = 0;
 };
 
-/// Carry `message` to another sidecar; loss is tolerated.
+/// Send `message` to another sidecar; loss is tolerated.
 struct SendToUpstreamPeer
 {
     UpstreamId upstream = 0;
     Message message;
 };
 
-/// Call the upstream. `resumeFrom` asks an engine to go on with a stream it still holds.
+/// Call the upstream. With `resumeFrom`, an engine continues a stream that it still has from that
+/// offset.
 struct StartRun
 {
     RunId run = 0;
@@ -146,11 +148,11 @@
     Call call;
     int priority = 0;
     ChatKey chat = 0;
-    Duration remaining{0}; ///< Until the deadline.
+    Duration remaining{0}; ///< Time until the deadline.
     std::uint64_t resumeFrom = 0;
 };
 
-/// Cancel the run at the upstream; a `RunBroken` or `RunEnd` may still arrive for it.
+/// Cancel the run at the upstream. A `RunBroken` or `RunEnd` of the run may still arrive.
 struct CancelRun
 {
     RunId run = 0;
@@ -161,7 +163,7 @@
     UnloadModel,
 };
 
-/// Give the engine an order with this fencing number.
+/// Send the engine an order with a fencing number.
 struct GiveOrder
 {
     std::uint64_t fence = 0;
@@ -179,38 +181,41 @@
 using SidecarAction = std::variant<SendToPeer, ClosePeer, SendToUpstreamPeer, StartRun, CancelRun,
                                    GiveOrder, HandOff, SendDigest, WriteLog, Drained>;
 
-/// What the host knows of itself.
+/// The identity of a sidecar.
 struct SidecarIdentity
 {
     std::string team;
     std::string pool;
     std::string member;
     std::string dataCenter;
-    Incarnation incarnation = 1; ///< Larger in each later life of this sidecar.
+    Incarnation incarnation = 1; ///< Increases with each restart of this sidecar.
     std::uint64_t seed = 0;
 };
 
-/// Limits on what one sidecar keeps; all in force at once.
+/// Limits of one sidecar; all apply at the same time.
 struct SidecarLimits
 {
-    std::size_t answerBytes = 64U << 20U;               ///< Answers kept for resuming, in all.
-    std::size_t answerBytesEach = 4U << 20U;            ///< Unacknowledged bytes of one answer.
-    std::size_t keys = 200000;                          ///< Idempotency keys.
-    std::size_t pointers = 100000;                      ///< Where chats have moved.
-    std::size_t tombstones = 100000;                    ///< Revoked attempts.
-    Duration answerLifetime = std::chrono::seconds(60); ///< After the end, until acknowledged.
+    std::size_t answerBytes = 64U << 20U;    ///< Bytes of all answers stored for resuming.
+    std::size_t answerBytesEach = 4U << 20U; ///< Unacknowledged bytes of one answer.
+    std::size_t keys = 200000;               ///< Entries of the table of idempotency keys.
+    std::size_t pointers = 100000;           ///< Entries of the table of moved chats.
+    std::size_t tombstones =
+        100000; ///< Entries of each table of ended attempts or started requests.
+    Duration answerLifetime =
+        std::chrono::seconds(60); ///< From the end of an unacknowledged answer.
     Duration digestPeriod = std::chrono::seconds(1);
-    std::size_t digestBytes = 1000;                  ///< Largest digest datagram.
-    std::size_t toldEntries = 10;                    ///< In a digest that nobody asked for.
-    std::size_t replyBytesPerSecond = 1500;          ///< Digests sent in reply.
-    Duration clockPeriod = std::chrono::seconds(60); ///< Between readings on a link in use.
-    Duration silence = std::chrono::seconds(4); ///< Without a sign of its router, a link is dead.
-    Duration linkGrace = std::chrono::seconds(15); ///< A run without any link is kept this long.
-    std::size_t recordBytes = 32U << 20U;          ///< Recorded answers of idempotency keys.
+    std::size_t digestBytes = 1000;                  ///< Maximum size of a digest datagram.
+    std::size_t unsolicitedEntries = 10;                    ///< Entries of an unsolicited digest.
+    std::size_t replyBytesPerSecond = 1500;          ///< Budget for digests sent in reply.
+    Duration clockInterval = std::chrono::seconds(60); ///< Between heartbeats on a link in use.
+    Duration silence = std::chrono::seconds(4); ///< Without a sign of its router, a link is closed.
+    Duration unreadTimeout =
+        std::chrono::seconds(15);         ///< A request that no link reads is cancelled after this.
+    std::size_t recordBytes = 32U << 20U; ///< Bytes of recorded answers of idempotency keys.
     std::size_t crashNotices = 1000;
 };
 
-/// Counts that the host exports as metrics.
+/// Counters and gauges that the host exports as metrics.
 struct SidecarCounts
 {
     std::uint64_t submitted = 0;
@@ -230,7 +235,7 @@
     std::uint64_t crashes = 0;
 };
 
-/// The sidecar's decisions. Not thread-safe: the host holds its lock around each call.
+/// The decision logic of a sidecar. Not thread-safe: the host holds a lock around each call.
 class SidecarNode
 {
 public:
@@ -239,7 +244,7 @@
     SidecarNode(const SidecarNode &) = delete;
     auto operator=(const SidecarNode &) -> SidecarNode & = delete;
 
-    /// Takes one event and gives what is to be done, in order.
+    /// Handles one event and returns the resulting actions in order.
     [[nodiscard]] auto handle(SidecarEvent event, Instant now) -> std::vector<SidecarAction>;
 
     [[nodiscard]] auto counts() const -> SidecarCounts;
--- a/include/applehatch/core/token.h
+++ b/include/applehatch/core/token.h
@@ -1,4 +1,4 @@
-/// The opaque tokens that callers hold for us: context, position in an answer, run-once ticket.
+/// Opaque tokens that callers store and send back: context, position in an answer, run-once ticket.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -8,7 +8,7 @@
 
 namespace applehatch::core {
 
-/// Where an answer can be resumed, carried as the SSE event id.
+/// A position at which an answer can be resumed, sent as the SSE event id.
 struct Position
 {
     UpstreamId upstream = 0;
@@ -16,12 +16,12 @@
     std::uint64_t offset = 0;
 };
 
-/// Permission to run a request at one life of one upstream only.
+/// Permission to run a request at one incarnation of one upstream only.
 struct Ticket
 {
     UpstreamLife life;
     std::string pool;        ///< `team/pool`.
-    std::uint64_t nonce = 0; ///< Makes each ticket its own idempotency key.
+    std::uint64_t nonce = 0; ///< Makes each ticket a unique idempotency key.
     Instant expires;         ///< On the sidecar's clock.
 };
 
--- a/src/core/answer-store.cc
+++ b/src/core/answer-store.cc
@@ -61,14 +61,14 @@
 
 auto AnswerStore::begin(std::uint64_t run, std::uint64_t base) -> void
 {
-    held_.insert_or_assign(run, Held{StoredAnswer(base), base, false});
+    entries_.insert_or_assign(run, Entry{StoredAnswer(base), base, false});
 }
 
 auto AnswerStore::append(std::uint64_t run, std::string_view data) -> std::vector<std::uint64_t>
 {
     std::vector<std::uint64_t> dropped;
-    const auto found = held_.find(run);
-    if (found == held_.end())
+    const auto found = entries_.find(run);
+    if (found == entries_.end())
         return dropped;
     found->second.answer.append(data);
     bytes_ += data.size();
@@ -82,17 +82,17 @@
 
 auto AnswerStore::acknowledge(std::uint64_t run, std::uint64_t offset) -> void
 {
-    const auto found = held_.find(run);
-    if (found == held_.end())
+    const auto found = entries_.find(run);
+    if (found == entries_.end())
         return;
-    auto &held = found->second;
-    held.acknowledged = std::clamp(offset, held.acknowledged, held.answer.length());
+    auto &entry = found->second;
+    entry.acknowledged = std::clamp(offset, entry.acknowledged, entry.answer.length());
 }
 
 auto AnswerStore::finish(std::uint64_t run, Instant now) -> void
 {
-    const auto found = held_.find(run);
-    if (found == held_.end() || found->second.finished)
+    const auto found = entries_.find(run);
+    if (found == entries_.end() || found->second.finished)
         return;
     found->second.finished = true;
     finished_.push_back({run, now});
@@ -100,19 +100,19 @@
 
 auto AnswerStore::drop(std::uint64_t run) -> void
 {
-    const auto found = held_.find(run);
-    if (found == held_.end())
+    const auto found = entries_.find(run);
+    if (found == entries_.end())
         return;
-    bytes_ -= found->second.answer.kept();
+    bytes_ -= found->second.answer.storedBytes();
     if (found->second.finished)
         finished_.remove_if([run](const Finished &entry) { return entry.run == run; });
-    held_.erase(found);
+    entries_.erase(found);
 }
 
 auto AnswerStore::find(std::uint64_t run) const -> const StoredAnswer *
 {
-    const auto found = held_.find(run);
-    return found == held_.end() ? nullptr : &found->second.answer;
+    const auto found = entries_.find(run);
+    return found == entries_.end() ? nullptr : &found->second.answer;
 }
 
 auto AnswerStore::expire(Instant now) -> std::vector<std::uint64_t>
@@ -127,13 +127,13 @@
 
 auto AnswerStore::unfinished(std::uint64_t run) const -> bool
 {
-    const auto found = held_.find(run);
-    return found != held_.end() && !found->second.finished;
+    const auto found = entries_.find(run);
+    return found != entries_.end() && !found->second.finished;
 }
 
-auto AnswerStore::pending(const Held &held) -> std::uint64_t
+auto AnswerStore::pending(const Entry &entry) -> std::uint64_t
 {
-    return held.answer.length() - std::max(held.acknowledged, held.answer.base());
+    return entry.answer.length() - std::max(entry.acknowledged, entry.answer.base());
 }
 
 auto AnswerStore::makeRoom(std::vector<std::uint64_t> &dropped) -> void
@@ -153,17 +153,17 @@
 
 auto AnswerStore::trimAcknowledged() -> void
 {
-    for (auto &[run, held] : held_) {
-        const auto before = held.answer.kept();
-        held.answer.trim(held.acknowledged);
-        bytes_ -= before - held.answer.kept();
+    for (auto &[run, entry] : entries_) {
+        const auto before = entry.answer.storedBytes();
+        entry.answer.trim(entry.acknowledged);
+        bytes_ -= before - entry.answer.storedBytes();
     }
 }
 
 auto AnswerStore::largestPending() const -> std::uint64_t
 {
     const auto largest =
-        std::max_element(held_.begin(), held_.end(), [](const auto &a, const auto &b) {
+        std::max_element(entries_.begin(), entries_.end(), [](const auto &a, const auto &b) {
             const auto first = pending(a.second);
             const auto second = pending(b.second);
             return first != second ? first < second : a.first < b.first;
--- a/src/core/base64.cc
+++ b/src/core/base64.cc
@@ -22,7 +22,8 @@
     return !text.empty() && text.back() == '=' ? 1 : 0;
 }
 
-/// One group of four letters, of which the last `padding` are padding.
+/// Decodes a group of four letters, of which the last `padding` are padding, and appends the bytes
+/// to `into`.
 auto decodeGroup(std::string_view group, std::size_t padding, std::string &into) -> bool
 {
     std::uint32_t bits = 0;
--- a/src/core/gossip.cc
+++ b/src/core/gossip.cc
@@ -13,7 +13,7 @@
 constexpr std::size_t entryBytes = 45;
 constexpr std::size_t sumBytes = 45;
 constexpr std::size_t noticeBytes = 45;
-constexpr std::size_t mostNotices = 6;
+constexpr std::size_t maxNotices = 6;
 constexpr Duration sumLifetime = std::chrono::seconds(10);
 
 auto loadPerSlot(const DigestEntry &entry) -> double
@@ -21,7 +21,8 @@
     return static_cast<double>(entry.running + entry.waiting) / std::max(1U, entry.slots);
 }
 
-// The own entry is not drawn from the pool: a member that the settings dropped tells of it too.
+// The own entry does not depend on the pool's members: a member that was removed from the settings
+// still reports its load.
 auto entriesFor(const DigestReader &reader, const GossipView &view, const LoadTable &loads,
                 std::size_t count, Instant now) -> std::vector<DigestEntry>
 {
@@ -43,11 +44,11 @@
 {
     for (const auto &sum : sums) {
         const auto madeAt = now - sum.age;
-        auto &[held, heldMadeAt] = held_[{sum.pool, sum.dataCenter}];
-        if (held.pool != 0 && madeAt <= heldMadeAt)
+        auto &[stored, storedMadeAt] = entries_[{sum.pool, sum.dataCenter}];
+        if (stored.pool != 0 && madeAt <= storedMadeAt)
             continue;
-        held = sum;
-        heldMadeAt = madeAt;
+        stored = sum;
+        storedMadeAt = madeAt;
     }
 }
 
@@ -55,8 +56,8 @@
     -> std::vector<PoolSum>
 {
     std::vector<PoolSum> found;
-    for (auto item = held_.lower_bound({pool, 0}); item != held_.end() && item->first.first == pool;
-         ++item) {
+    for (auto item = entries_.lower_bound({pool, 0});
+         item != entries_.end() && item->first.first == pool; ++item) {
         auto sum = item->second.first;
         sum.age = now - item->second.second;
         if (sum.dataCenter != ownDataCenter && sum.age <= sumLifetime)
@@ -67,7 +68,7 @@
 
 auto PoolSums::expire(Instant now) -> void
 {
-    std::erase_if(held_,
+    std::erase_if(entries_,
                   [now](const auto &item) { return now - item.second.second > sumLifetime; });
 }
 
@@ -99,7 +100,7 @@
 {
     Digest digest;
     digest.settingsIndex = view.settingsIndex;
-    digest.crashes = crashes.notices(mostNotices, now);
+    digest.crashes = crashes.notices(maxNotices, now);
     auto room = view.bytes - std::min(view.bytes, headerBytes);
     room -= std::min(room, digest.crashes.size() * noticeBytes);
     if (!fitsOneDigest(view)) {
@@ -110,7 +111,7 @@
         room -= digest.sums.size() * sumBytes;
     }
     if (reader.isNear || fitsOneDigest(view)) {
-        const auto count = std::min(reader.mostEntries, room / entryBytes);
+        const auto count = std::min(reader.maxEntries, room / entryBytes);
         digest.entries = entriesFor(reader, view, loads, count, now);
     }
     return digest;
@@ -120,19 +121,19 @@
                    Instant now) -> PoolLoad
 {
     auto load = loads.poolLoad(view.pool, now);
-    std::set<std::uint64_t> heard{stableHash(view.dataCenter)};
+    std::set<std::uint64_t> dataCentersWithEntries{stableHash(view.dataCenter)};
     for (const auto &member : view.pool.members) {
         if (loads.find(member.id, now))
-            heard.insert(stableHash(member.dataCenter));
+            dataCentersWithEntries.insert(stableHash(member.dataCenter));
     }
     const auto pool = stableHash(view.pool.team + '/' + view.pool.name);
     for (const auto &sum : sums.others(pool, stableHash(view.dataCenter), now)) {
-        if (heard.contains(sum.dataCenter))
+        if (dataCentersWithEntries.contains(sum.dataCenter))
             continue;
         load.members += sum.members;
         load.load += sum.load;
         load.slots += sum.slots;
-        // Sums do not tell how many wait; with few waiting the error is small.
+        // Sums do not separate running from waiting requests; with few waiting the error is small.
         load.running += sum.load;
     }
     return load;
@@ -145,18 +146,18 @@
 }
 
 ReplyBudget::ReplyBudget(std::size_t bytesPerSecond)
-    : perSecond_(static_cast<double>(bytesPerSecond))
-    , left_(perSecond_)
+    : bytesPerSecond_(static_cast<double>(bytesPerSecond))
+    , availableBytes_(bytesPerSecond_)
 { }
 
 auto ReplyBudget::spend(std::size_t bytes, Instant now) -> bool
 {
-    const std::chrono::duration<double> passed = now - filledAt_;
-    left_ = std::min(perSecond_, left_ + passed.count() * perSecond_);
-    filledAt_ = now;
-    if (left_ < static_cast<double>(bytes))
+    const std::chrono::duration<double> passed = now - refilledAt_;
+    availableBytes_ = std::min(bytesPerSecond_, availableBytes_ + passed.count() * bytesPerSecond_);
+    refilledAt_ = now;
+    if (availableBytes_ < static_cast<double>(bytes))
         return false;
-    left_ -= static_cast<double>(bytes);
+    availableBytes_ -= static_cast<double>(bytes);
     return true;
 }
 
--- a/src/core/run-once-table.cc
+++ b/src/core/run-once-table.cc
@@ -4,14 +4,14 @@
 
 namespace {
 
-// No header and no settings name can hold it, so that two names never run into each other.
+// Cannot occur in a header or a name in the settings, so the names of two keys are never equal.
 constexpr char fieldEnd = '\0';
 
 } // namespace
 
-RunOnceTable::RunOnceTable(std::size_t keys, std::size_t answerBytes)
-    : keys_(keys)
-    , answerBytes_(answerBytes)
+RunOnceTable::RunOnceTable(std::size_t maxKeys, std::size_t maxAnswerBytes)
+    : maxKeys_(maxKeys)
+    , maxAnswerBytes_(maxAnswerBytes)
 { }
 
 auto RunOnceTable::nameOf(const Terms &terms) -> std::string
@@ -21,25 +21,25 @@
 
 auto RunOnceTable::find(const std::string &name) const -> const RunOnceEntry *
 {
-    const auto found = held_.find(name);
-    return found == held_.end() ? nullptr : &found->second.entry;
+    const auto found = entries_.find(name);
+    return found == entries_.end() ? nullptr : &found->second.entry;
 }
 
 auto RunOnceTable::begin(const std::string &name, Fingerprint fingerprint, std::uint64_t run,
                          Instant now) -> bool
 {
-    if (held_.size() >= keys_)
+    if (entries_.size() >= maxKeys_)
         expire(now);
-    if (held_.size() >= keys_)
+    if (entries_.size() >= maxKeys_)
         return false;
-    held_[name].entry = {fingerprint, RunOnceEntry::State::Active, run, nullptr};
+    entries_[name].entry = {fingerprint, RunOnceEntry::State::Active, run, nullptr};
     return true;
 }
 
 auto RunOnceTable::record(const std::string &name, RecordedAnswer answer, Instant until) -> void
 {
-    const auto found = held_.find(name);
-    if (found == held_.end())
+    const auto found = entries_.find(name);
+    if (found == entries_.end())
         return;
     bytes_ += answer.body.size();
     found->second.entry.state = RunOnceEntry::State::Answered;
@@ -51,8 +51,8 @@
 
 auto RunOnceTable::markUnknown(const std::string &name, Instant until) -> void
 {
-    const auto found = held_.find(name);
-    if (found == held_.end() || found->second.entry.state != RunOnceEntry::State::Active)
+    const auto found = entries_.find(name);
+    if (found == entries_.end() || found->second.entry.state != RunOnceEntry::State::Active)
         return;
     found->second.entry.state = RunOnceEntry::State::Unknown;
     found->second.until = until;
@@ -60,26 +60,26 @@
 
 auto RunOnceTable::forget(const std::string &name) -> void
 {
-    const auto found = held_.find(name);
-    if (found != held_.end() && found->second.entry.state == RunOnceEntry::State::Active)
-        held_.erase(found);
+    const auto found = entries_.find(name);
+    if (found != entries_.end() && found->second.entry.state == RunOnceEntry::State::Active)
+        entries_.erase(found);
 }
 
 auto RunOnceTable::expire(Instant now) -> void
 {
-    std::erase_if(held_, [&](const auto &item) {
+    std::erase_if(entries_, [&](const auto &item) {
         const auto expired = item.second.until <= now;
         if (expired && item.second.entry.answer)
             bytes_ -= item.second.entry.answer->body.size();
         return expired;
     });
-    answered_.remove_if([this](const std::string &name) { return !held_.contains(name); });
+    answered_.remove_if([this](const std::string &name) { return !entries_.contains(name); });
 }
 
 auto RunOnceTable::makeRoom() -> void
 {
-    while (bytes_ > answerBytes_ && !answered_.empty()) {
-        auto &entry = held_[answered_.front()].entry;
+    while (bytes_ > maxAnswerBytes_ && !answered_.empty()) {
+        auto &entry = entries_[answered_.front()].entry;
         bytes_ -= entry.answer->body.size();
         entry.answer = nullptr;
         answered_.pop_front();
--- a/src/core/settings-replica-calls.cc
+++ b/src/core/settings-replica-calls.cc
@@ -9,42 +9,41 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration leastSpacing = milliseconds(100);
-constexpr Duration mostSpacing = milliseconds(300);
+constexpr Duration minSpacing = milliseconds(100);
+constexpr Duration maxSpacing = milliseconds(300);
 constexpr Duration firstBackoff = seconds(2);
-constexpr Duration longestBackoff = seconds(8);
-constexpr Duration quickAnswer = seconds(1);
-/// Far beyond any wait of a watch; then the host lost the call.
-constexpr Duration callLost = seconds(300);
+constexpr Duration maxBackoff = seconds(8);
+constexpr Duration minWatchTime = seconds(1);
+/// Much longer than any watch. An older call was lost by the host.
+constexpr Duration callTimeout = seconds(300);
 
 constexpr Duration firstPullJitter = milliseconds(200);
-constexpr Duration soonLeast = milliseconds(150);
-constexpr Duration soonMost = milliseconds(300);
+constexpr Duration minRetryDelay = milliseconds(150);
+constexpr Duration maxRetryDelay = milliseconds(300);
 constexpr Duration pullTimeout = milliseconds(300);
-constexpr Duration longestPullWait = seconds(30);
-constexpr unsigned nearTries = 2;
-constexpr unsigned readerEvery = 3;
-constexpr unsigned patientTries = 24;  ///< Pulls before their waits grow.
-constexpr unsigned fruitlessTries = 8; ///< Pulls before the service is called.
-constexpr unsigned mostTries = 30;
-constexpr unsigned silentTries = 4; ///< Pulls without any answer before the service is called.
+constexpr Duration maxPullInterval = seconds(30);
+constexpr unsigned sameDataCenterTries = 2;
+constexpr unsigned triesPerReader = 3;
+constexpr unsigned triesBeforeBackoff = 24;    ///< Pulls before their interval grows.
+constexpr unsigned triesBeforeServiceRead = 8; ///< Pulls before the service is read.
+constexpr unsigned maxTries = 30;
+constexpr unsigned unansweredTriesBeforeServiceRead = 4; ///< The same if no pull was answered.
 
 } // namespace
 
-auto between(Duration least, Duration most, Random &random) -> Duration
+auto between(Duration min, Duration max, Random &random) -> Duration
 {
-    return Duration(
-        std::uniform_int_distribution<Duration::rep>(least.count(), most.count())(random));
+    return Duration(std::uniform_int_distribution<Duration::rep>(min.count(), max.count())(random));
 }
 
-auto ServiceCalls::holdUntil(Instant at) -> void
+auto ServiceCalls::delayUntil(Instant at) -> void
 {
     notBefore_ = std::max(notBefore_, at);
 }
 
 auto ServiceCalls::mayCall(Instant now) const -> bool
 {
-    const auto busy = outstanding_ && now - askedAt_ < callLost;
+    const auto busy = outstanding_ && now - askedAt_ < callTimeout;
     return !busy && now >= notBefore_;
 }
 
@@ -57,42 +56,44 @@
 
 auto ServiceCalls::answered(SettingsIndex index, Instant now, Random &random) -> void
 {
-    const auto news = !waitFor_ || index > *waitFor_;
-    if (!news && now - askedAt_ < quickAnswer) {
+    const auto hasNewIndex = !waitFor_ || index > *waitFor_;
+    if (!hasNewIndex && now - askedAt_ < minWatchTime) {
         failed(now, random);
         return;
     }
     outstanding_ = false;
     backoff_ = Duration(0);
-    notBefore_ = now + between(leastSpacing, mostSpacing, random);
+    notBefore_ = now + between(minSpacing, maxSpacing, random);
 }
 
 auto ServiceCalls::failed(Instant now, Random &random) -> void
 {
     outstanding_ = false;
-    backoff_ = std::clamp(backoff_ * 2, firstBackoff, longestBackoff);
+    backoff_ = std::clamp(backoff_ * 2, firstBackoff, maxBackoff);
     notBefore_ = now + between(backoff_ / 2, backoff_ * 3 / 2, random);
 }
 
-auto Pursuit::choice() const -> PeerChoice
+auto PullSchedule::choice() const -> PeerChoice
 {
-    if (tries_ % readerEvery == readerEvery - 1) {
+    if (tries_ % triesPerReader == triesPerReader - 1) {
         return PeerChoice::Readers;
     }
-    return tries_ < nearTries ? PeerChoice::Near : PeerChoice::Any;
+    return tries_ < sameDataCenterTries ? PeerChoice::SameDataCenter : PeerChoice::Any;
 }
 
-auto Pursuit::wantsService() const -> bool
+auto PullSchedule::wantsService() const -> bool
 {
-    return active_ && (tries_ >= fruitlessTries || (answers_ == 0 && tries_ >= silentTries));
+    return active_
+        && (tries_ >= triesBeforeServiceRead
+            || (answers_ == 0 && tries_ >= unansweredTriesBeforeServiceRead));
 }
 
-auto Pursuit::exhausted() const -> bool
+auto PullSchedule::exhausted() const -> bool
 {
-    return active_ && tries_ >= mostTries;
+    return active_ && tries_ >= maxTries;
 }
 
-auto Pursuit::begin(Instant now, Random &random) -> void
+auto PullSchedule::begin(Instant now, Random &random) -> void
 {
     if (!active_) {
         active_ = true;
@@ -100,37 +101,38 @@
     }
 }
 
-auto Pursuit::sent(UpstreamId peer, Instant now, Random &random) -> void
+auto PullSchedule::sent(UpstreamId peer, Instant now, Random &random) -> void
 {
     ++tries_;
     last_ = peer;
     asked_.insert(peer);
-    const auto doublings = tries_ > patientTries ? std::min(tries_ - patientTries, 6U) : 0U;
-    const auto wait = std::min(pullTimeout * (1 << doublings), longestPullWait);
+    const auto doublings =
+        tries_ > triesBeforeBackoff ? std::min(tries_ - triesBeforeBackoff, 6U) : 0U;
+    const auto wait = std::min(pullTimeout * (1 << doublings), maxPullInterval);
     next_ = now + between(wait, wait * 3 / 2, random);
 }
 
-auto Pursuit::unsatisfied(Instant now, Random &random) -> void
+auto PullSchedule::unsatisfied(Instant now, Random &random) -> void
 {
     if (!active_) {
         return;
     }
     ++answers_;
-    if (tries_ <= patientTries) {
-        next_ = std::min(next_, now + between(soonLeast, soonMost, random));
+    if (tries_ <= triesBeforeBackoff) {
+        next_ = std::min(next_, now + between(minRetryDelay, maxRetryDelay, random));
     }
 }
 
-auto Pursuit::partial(Instant now) -> void
+auto PullSchedule::partial(Instant now) -> void
 {
     ++answers_;
     asked_.erase(last_);
     next_ = now;
 }
 
-auto Pursuit::end() -> void
+auto PullSchedule::end() -> void
 {
-    *this = Pursuit();
+    *this = PullSchedule();
 }
 
 } // namespace applehatch::core
--- a/src/core/settings-replica-calls.h
+++ b/src/core/settings-replica-calls.h
@@ -1,4 +1,4 @@
-/// When a replica may call the configuration service and its peers.
+/// The schedule of a replica's calls to the configuration service and to its peers.
 #pragma once
 
 #include "applehatch/core/load-table.h"
@@ -10,26 +10,27 @@
 
 namespace applehatch::core {
 
-/// A duration at random between two.
-[[nodiscard]] auto between(Duration least, Duration most, Random &random) -> Duration;
+/// Returns a random duration from `min` to `max`.
+[[nodiscard]] auto between(Duration min, Duration max, Random &random) -> Duration;
 
-/// At most one call to the service at a time, spaced out and backed off.
+/// Limits calls to the configuration service to one at a time, with a minimum interval and backoff.
 ///
-/// The service takes some 2,000 calls a second from all readers. When it returns from an outage
-/// every process wants it at once; without backoff and jitter their calls would keep it down, and
-/// an operator would see changes arrive nowhere.
+/// The service handles about 2,000 calls per second from all readers. After an outage every process
+/// calls it at once; without backoff and jitter these calls would keep it down, and settings
+/// changes would reach no process.
 class ServiceCalls
 {
 public:
-    /// No call before `at`.
-    auto holdUntil(Instant at) -> void;
+    /// Allows no call before `at`.
+    auto delayUntil(Instant at) -> void;
 
     [[nodiscard]] auto mayCall(Instant now) const -> bool;
 
     auto asked(std::optional<SettingsIndex> waitFor, Instant now) -> void;
 
-    /// An answer with this index arrived. One that came at once without news counts like a failure:
-    /// a service that does not hold watches would otherwise be called in a loop.
+    /// Records an answer with this index. A watch that returns immediately without a new index
+    /// counts as a failure; otherwise a service that does not support watches would be called in a
+    /// loop.
     auto answered(SettingsIndex index, Instant now, Random &random) -> void;
 
     auto failed(Instant now, Random &random) -> void;
@@ -42,35 +43,37 @@
     Duration backoff_{0};
 };
 
-/// Asks one peer after the other until one has what is missing.
-class Pursuit
+/// Schedules pulls from one peer after another until one has the missing texts.
+class PullSchedule
 {
 public:
     [[nodiscard]] auto active() const -> bool { return active_; }
     [[nodiscard]] auto due(Instant now) const -> bool { return active_ && now >= next_; }
 
-    /// Whom to ask next: near ones at first, and a reader each third time.
+    /// Returns which peers to ask next: those of the own data centre at first, and a reader on each
+    /// third try.
     [[nodiscard]] auto choice() const -> PeerChoice;
 
-    /// True when peers were silent, or had no news, often enough to call the service itself.
+    /// Returns true after enough pulls without an answer or without the missing texts to read the
+    /// service directly.
     [[nodiscard]] auto wantsService() const -> bool;
 
-    /// True when so many peers lacked it that it may not exist.
+    /// Returns true after so many pulls without the missing index that it may not exist.
     [[nodiscard]] auto exhausted() const -> bool;
 
     [[nodiscard]] auto asked() const -> const std::unordered_set<UpstreamId> & { return asked_; }
     [[nodiscard]] auto lastAsked() const -> UpstreamId { return last_; }
 
-    /// Begins, unless begun; the first pull follows within a short jitter.
+    /// Starts pulling, unless already active. The first pull is due after a short jitter.
     auto begin(Instant now, Random &random) -> void;
 
-    /// A pull was sent to `peer`; the next follows after a growing wait.
+    /// Records a pull sent to `peer`. The interval to the next grows after many tries.
     auto sent(UpstreamId peer, Instant now, Random &random) -> void;
 
-    /// A peer answered without what is missing: ask the next one soon.
+    /// Records an answer without the missing texts: the next peer is asked after a short delay.
     auto unsatisfied(Instant now, Random &random) -> void;
 
-    /// A peer has more of its answer to give: ask it again at once.
+    /// Records a partial answer: the same peer is asked again immediately.
     auto partial(Instant now) -> void;
 
     auto end() -> void;
--- a/src/core/settings-replica-peers.cc
+++ b/src/core/settings-replica-peers.cc
@@ -24,14 +24,14 @@
 
 } // namespace
 
-PeerBook::PeerBook(const ReplicaIdentity &identity)
+PeerSelector::PeerSelector(const ReplicaIdentity &identity)
     : self_(identity.self)
     , dataCenter_(identity.dataCenter)
     , readersPerDataCenter_(identity.readersPerDataCenter)
-    , firstPeers_(identity.peers)
+    , bootstrapPeers_(identity.peers)
 { }
 
-auto PeerBook::setSettings(const settings::Settings &settings) -> void
+auto PeerSelector::setSettings(const settings::Settings &settings) -> void
 {
     sidecars_.clear();
     for (const auto &[teamName, team] : settings.teams) {
@@ -44,7 +44,7 @@
     rebuild();
 }
 
-auto PeerBook::setHosts(const HostList &list) -> void
+auto PeerSelector::setHosts(const HostList &list) -> void
 {
     if (list.hosts.empty()) {
         return;
@@ -56,7 +56,7 @@
     rebuild();
 }
 
-auto PeerBook::isLive(const Sidecar &sidecar) const -> bool
+auto PeerSelector::isLive(const Sidecar &sidecar) const -> bool
 {
     const auto host = hosts_.find(sidecar.ip);
     if (host == hosts_.end()) {
@@ -65,12 +65,12 @@
     return host->second == HostState::Live;
 }
 
-auto PeerBook::rebuild() -> void
+auto PeerSelector::rebuild() -> void
 {
     std::vector<Sidecar> live;
     std::copy_if(sidecars_.begin(), sidecars_.end(), std::back_inserter(live),
                  [this](const Sidecar &sidecar) { return isLive(sidecar); });
-    near_.clear();
+    sameDataCenter_.clear();
     all_.clear();
     for (const auto &sidecar : live) {
         if (sidecar.id == self_) {
@@ -78,13 +78,13 @@
         }
         all_.push_back(sidecar.id);
         if (sidecar.dataCenter == dataCenter_) {
-            near_.push_back(sidecar.id);
+            sameDataCenter_.push_back(sidecar.id);
         }
     }
     chooseReaders(live);
 }
 
-auto PeerBook::chooseReaders(const std::vector<Sidecar> &live) -> void
+auto PeerSelector::chooseReaders(const std::vector<Sidecar> &live) -> void
 {
     using Ranked = std::pair<std::uint64_t, UpstreamId>;
     std::map<std::string, std::vector<Ranked>> byDataCenter;
@@ -109,16 +109,18 @@
     }
 }
 
-auto PeerBook::pick(const std::unordered_set<UpstreamId> &asked, PeerChoice choice,
-                    Random &random) const -> UpstreamId
+auto PeerSelector::pick(const std::unordered_set<UpstreamId> &asked, PeerChoice choice,
+                        Random &random) const -> UpstreamId
 {
     if (all_.empty()) {
-        return pickFrom(firstPeers_, asked, random);
+        return pickFrom(bootstrapPeers_, asked, random);
     }
     if (choice == PeerChoice::Readers && !readerPeers_.empty()) {
         return pickFrom(readerPeers_, asked, random);
     }
-    return pickFrom(choice == PeerChoice::Near && !near_.empty() ? near_ : all_, asked, random);
+    return pickFrom(
+        choice == PeerChoice::SameDataCenter && !sameDataCenter_.empty() ? sameDataCenter_ : all_,
+        asked, random);
 }
 
 } // namespace applehatch::core
--- a/src/core/settings-replica-peers.h
+++ b/src/core/settings-replica-peers.h
@@ -1,4 +1,4 @@
-/// Who watches the configuration service, and whom to ask for what it said.
+/// The choice of the readers of the configuration service and of the peers to pull settings from.
 #pragma once
 
 #include "applehatch/core/membership.h"
@@ -11,34 +11,35 @@
 
 namespace applehatch::core {
 
-/// Which peers to ask.
+/// The set from which a peer is picked.
 enum class PeerChoice {
-    Near,    ///< Of the own data centre.
-    Any,     ///< Of all data centres.
-    Readers, ///< Readers of all data centres: first to know of a change, so asked sparingly.
+    SameDataCenter, ///< Peers in the own data centre.
+    Any,            ///< Peers in all data centres.
+    Readers,        ///< Readers in all data centres. They see changes first and are asked rarely.
 };
 
-/// The sidecars of the settings in force that the host list shows as live.
-class PeerBook
+/// Selects readers and peers from the sidecars of the settings in force that are live in the host
+/// list.
+class PeerSelector
 {
 public:
-    explicit PeerBook(const ReplicaIdentity &identity);
+    explicit PeerSelector(const ReplicaIdentity &identity);
 
-    /// Takes the settings in force; their members replace those known before.
+    /// Replaces the known sidecars by those of the settings in force.
     auto setSettings(const settings::Settings &settings) -> void;
 
-    /// Takes a reading of the host list; an empty one says nothing.
+    /// Updates the host list. An empty list is ignored, as it means that the hosts are unknown.
     auto setHosts(const HostList &list) -> void;
 
-    /// True when this process is one of the readers of its data centre.
+    /// Returns true if this process is one of the readers of its data centre.
     ///
-    /// Ranks come from a hash of the member, so that all processes agree without talking and a
-    /// member that leaves moves only its own rank. While host lists differ, one reader too many
-    /// costs a call, and one too few is made up for by the other readers and by audits.
+    /// Members are ranked by a hash, so that all processes agree without communication and a member
+    /// that leaves does not reorder the others. While the host lists of processes differ, an extra
+    /// reader costs one call; a missing one is covered by the other readers and by audits.
     [[nodiscard]] auto isReader() const -> bool { return isReader_; }
 
-    /// A peer at random, not asked before unless all were; 0 lets the host choose, when none is
-    /// known.
+    /// Returns a random peer, preferring those that are not in `asked`. Returns 0 if no peer is
+    /// known; the host then chooses one.
     [[nodiscard]] auto pick(const std::unordered_set<UpstreamId> &asked, PeerChoice choice,
                             Random &random) const -> UpstreamId;
 
@@ -51,17 +52,18 @@
     };
 
     auto rebuild() -> void;
-    /// A process counts itself while the lagging list does not show its host yet.
+    /// A process counts itself as live even if the host list, which lags, does not have its host
+    /// yet.
     [[nodiscard]] auto isLive(const Sidecar &sidecar) const -> bool;
     auto chooseReaders(const std::vector<Sidecar> &live) -> void;
 
     UpstreamId self_;
     std::string dataCenter_;
     std::size_t readersPerDataCenter_;
-    std::vector<UpstreamId> firstPeers_;
+    std::vector<UpstreamId> bootstrapPeers_;
     std::vector<Sidecar> sidecars_;
     std::unordered_map<std::string, HostState> hosts_;
-    std::vector<UpstreamId> near_;
+    std::vector<UpstreamId> sameDataCenter_;
     std::vector<UpstreamId> all_;
     std::vector<UpstreamId> readerPeers_;
     bool isReader_ = false;
--- a/src/core/settings-replica-table.cc
+++ b/src/core/settings-replica-table.cc
@@ -9,28 +9,28 @@
     : parse_(std::move(parse))
 { }
 
-auto SubtreeTable::offer(const SettingsText &text, Instant now) -> Taken
+auto SubtreeTable::offer(const SettingsText &text, Instant now) -> OfferResult
 {
     auto &subtree = subtrees_[text.team];
     if (text.index <= subtree.inForce || text.index == subtree.refused) {
-        return Taken::Known;
+        return OfferResult::Known;
     }
     if (text.text == nullptr) {
         accept(subtree, text, nullptr, now);
-        return Taken::Removed;
+        return OfferResult::Removed;
     }
     auto parsed = parse_(text.team, *text.text, text.index);
     if (parsed.team != nullptr) {
         accept(subtree, text, std::move(parsed.team), now);
-        return Taken::Accepted;
+        return OfferResult::Accepted;
     }
     if (text.index < subtree.refused) {
-        return Taken::Known;
+        return OfferResult::Known;
     }
     subtree.refused = text.index;
     subtree.refusedText = text.text;
     subtree.problems = std::move(parsed.problems);
-    return Taken::Refused;
+    return OfferResult::Refused;
 }
 
 auto SubtreeTable::accept(Subtree &subtree, const SettingsText &text,
@@ -47,8 +47,8 @@
     }
 }
 
-/// A read that is no newer than what was seen cannot tell of a removal: the subtree may have been
-/// created after it.
+/// A read that is not newer than the index of this table proves no removal: the subtree may have
+/// been created after the read.
 auto SubtreeTable::removedBy(const SettingsRead &read) const -> std::vector<SettingsText>
 {
     std::vector<SettingsText> removed;
@@ -60,8 +60,8 @@
         present.insert(text.team);
     }
     for (const auto &[team, subtree] : subtrees_) {
-        const auto held = subtree.text != nullptr || subtree.refused != 0;
-        if (held && present.count(team) == 0
+        const auto stored = subtree.text != nullptr || subtree.refused != 0;
+        if (stored && present.count(team) == 0
             && read.index > std::max(subtree.inForce, subtree.refused)) {
             removed.push_back({team, read.index, nullptr});
         }
@@ -93,8 +93,8 @@
     return sum;
 }
 
-/// Refused texts go along while they fit, so that every process can show why; they are never the
-/// reason to ask again, as the asker could not take them into force.
+/// Refused texts are included while they fit, so that every process can show the reasons. They
+/// never make the answer incomplete, as the requesting process could not put them in force.
 auto SubtreeTable::answer(const SettingsPull &pull, std::size_t limit) const -> SettingsReply
 {
     SettingsReply reply{index_, {}};
@@ -104,15 +104,15 @@
         bytes += text == nullptr ? 0 : text->size();
         return reply.texts.empty() || bytes <= limit;
     };
-    const auto heldBy = [&pull](const std::string &team) {
+    const auto knownIndex = [&pull](const std::string &team) {
         if (pull.brief) {
             return pull.since;
         }
-        const auto held = pull.held.find(team);
-        return held == pull.held.end() ? 0 : held->second;
+        const auto known = pull.held.find(team);
+        return known == pull.held.end() ? 0 : known->second;
     };
     for (const auto &[team, subtree] : subtrees_) {
-        if (subtree.inForce <= heldBy(team)) {
+        if (subtree.inForce <= knownIndex(team)) {
             continue;
         }
         if (!fits(subtree.text)) {
@@ -122,7 +122,7 @@
         reply.texts.push_back({team, subtree.inForce, subtree.text});
     }
     for (const auto &[team, subtree] : subtrees_) {
-        if (subtree.refused > heldBy(team) && fits(subtree.refusedText)) {
+        if (subtree.refused > knownIndex(team) && fits(subtree.refusedText)) {
             reply.texts.push_back({team, subtree.refused, subtree.refusedText});
         }
     }
--- a/src/core/settings-replica-table.h
+++ b/src/core/settings-replica-table.h
@@ -1,4 +1,4 @@
-/// The subtrees that a replica holds, and which text of each is in force.
+/// The settings subtrees of a replica, and the text of each that is in force.
 #pragma once
 
 #include "applehatch/core/settings-replica.h"
@@ -10,49 +10,50 @@
 
 namespace applehatch::core {
 
-/// What became of a text that was offered.
-enum class Taken {
-    Known,    ///< Not newer than what is held.
-    Accepted, ///< In force from now on.
-    Removed,  ///< The subtree is gone from now on.
-    Refused,  ///< Newer, but with problems; what was in force stays.
+/// The result of offering a text to a `SubtreeTable`.
+enum class OfferResult {
+    Known,    ///< Not newer than the stored text.
+    Accepted, ///< The text is now in force.
+    Removed,  ///< The subtree is now removed.
+    Refused,  ///< Newer but invalid; the previous text stays in force.
 };
 
-/// Keeps each subtree at its newest accepted text. An index in force never falls.
+/// Keeps each subtree at its newest accepted text. The index in force never decreases.
 ///
-/// The configuration service answers from replicas that lag, and may be set back to a backup; peers
-/// repeat what they read long ago. If an older text could follow a newer one, a limit that an
-/// operator just lowered would jump back. So a text counts only by its own index.
+/// The configuration service answers from replicas that lag and may be restored from a backup, and
+/// peers send texts that they read long ago. If an older text could replace a newer one, a limit
+/// that an operator just lowered would revert. So texts are compared only by their own index.
 class SubtreeTable
 {
 public:
     explicit SubtreeTable(ParseHook parse);
 
-    /// Decides on one text; a null one is a removal.
-    auto offer(const SettingsText &text, Instant now) -> Taken;
+    /// Accepts or refuses a text. A null text removes the subtree.
+    auto offer(const SettingsText &text, Instant now) -> OfferResult;
 
-    /// The held subtrees that `read` lacks although it is newer than all this table has seen.
+    /// Returns removals of the stored subtrees that are missing from `read`, if `read` is newer
+    /// than everything this table was offered.
     [[nodiscard]] auto removedBy(const SettingsRead &read) const -> std::vector<SettingsText>;
 
-    /// Notes that everything up to `index` was offered.
+    /// Records that every text up to `index` was offered.
     auto completeUpTo(SettingsIndex index) -> void;
 
-    /// Everything up to here was offered, from the service or from a peer that had it.
+    /// Every text up to this index was offered, by the service or by a peer.
     [[nodiscard]] auto index() const -> SettingsIndex { return index_; }
 
-    /// What a pull names as held. A refused text counts as held, so that it is not sent again,
-    /// unless `acceptedOnly`: then a peer also sends texts that came before it.
+    /// Returns the indices that a pull reports as known, by team. A refused text counts as known,
+    /// so that it is not sent again, unless `acceptedOnly`: then a peer also sends the texts before
+    /// it.
     [[nodiscard]] auto indices(bool acceptedOnly) const -> std::map<std::string, SettingsIndex>;
 
-    /// One number over all that `indices(false)` gives; the order in which it came to be held does
-    /// not count.
+    /// Returns a hash of `indices(false)`, independent of the order in which texts were offered.
     [[nodiscard]] auto hash() const -> std::uint64_t;
 
-    /// Texts newer than those the asker holds, up to `limit` bytes but at least one. An index of 0
-    /// tells that more is left.
+    /// Returns texts newer than those known to the sender of `pull`, up to `limit` bytes but at
+    /// least one. An index of 0 means that further texts remain.
     [[nodiscard]] auto answer(const SettingsPull &pull, std::size_t limit) const -> SettingsReply;
 
-    /// True while the newest text of any subtree is refused.
+    /// Returns true if the newest text of any subtree is refused.
     [[nodiscard]] auto anyRefused() const -> bool;
 
     [[nodiscard]] auto find(const std::string &team) const -> SubtreeStatus;
@@ -62,9 +63,9 @@
 private:
     struct Subtree
     {
-        SettingsIndex inForce = 0; ///< Of the accepted text, or of the removal.
+        SettingsIndex inForce = 0; ///< Index of the accepted text or of the removal.
         Instant since;
-        std::shared_ptr<const std::string> text; ///< Null once removed.
+        std::shared_ptr<const std::string> text; ///< Null if the subtree was removed.
         std::shared_ptr<const settings::Team> team;
         SettingsIndex refused = 0;
         std::shared_ptr<const std::string> refusedText;
--- a/src/core/settings-replica.cc
+++ b/src/core/settings-replica.cc
@@ -16,30 +16,33 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A starting process waits this long after its first read for a peer that knows better.
-constexpr Duration startWait = milliseconds(1500);
-/// Spreads the first reads of processes that start together.
+/// A starting process waits this long after its first read for a peer with newer settings.
+constexpr Duration startDelay = milliseconds(1500);
+/// Spreads the first reads of processes that start at the same time.
 constexpr Duration startJitter = milliseconds(1000);
-/// A process that is no reader holds a watch about this often, in case the readers are gone.
-constexpr Duration auditPeriod = seconds(600);
-/// While a newest text is refused, a peer may hold a later accepted one.
-constexpr Duration refusedPeriod = seconds(120);
-/// A peer is asked for news about this often even when no digest told of any.
-constexpr Duration idlePeriod = seconds(5);
-/// Idle pulls of which one lists every index held.
+/// Average interval at which a process that is not a reader watches the service, in case all
+/// readers have failed.
+constexpr Duration auditInterval = seconds(600);
+/// Average interval of pulls while a subtree's newest text is refused: a peer may have an accepted
+/// text that this process missed.
+constexpr Duration refusedPullInterval = seconds(120);
+/// Average interval of pulls when no digest advertised a newer index.
+constexpr Duration idlePullInterval = seconds(5);
+/// One in this many idle pulls lists the index of every subtree.
 constexpr unsigned idlePullsPerList = 120;
-/// Answers in a row that told of a difference before the indices are listed. While a change spreads
-/// two peers differ for a moment, and listing then would cost more than the change.
-constexpr unsigned differingAnswers = 3;
-/// Between direct reads that did not bring what peers speak of.
-constexpr Duration firstDirectWait = seconds(4);
-constexpr Duration longestDirectWait = seconds(300);
-/// Distinct indices looked for at a time; the highest give way, as they are the least likely true.
-constexpr std::size_t mostChased = 16;
-/// How long an index that was not found is not looked for again.
-constexpr Duration distrustPeriod = seconds(120);
-/// Texts in one answer to a peer, in bytes.
-constexpr std::size_t replyBytes = 2U << 20U;
+/// Consecutive replies that report a difference before a pull lists all indices. Two peers differ
+/// briefly while a change spreads, and listing then would cost more traffic than the change.
+constexpr unsigned maxDifferingReplies = 3;
+/// Interval of direct reads that lack the index advertised by peers.
+constexpr Duration minDirectReadInterval = seconds(4);
+constexpr Duration maxDirectReadInterval = seconds(300);
+/// Maximum number of indices searched for at a time. The highest are dropped first, as they are the
+/// least likely to be valid.
+constexpr std::size_t maxMissingIndices = 16;
+/// Average time for which an index that was not found is not searched for again.
+constexpr Duration unavailableLifetime = seconds(120);
+/// Maximum bytes of text in one answer to a peer.
+constexpr std::size_t maxReplyBytes = 2U << 20U;
 
 } // namespace
 
@@ -55,50 +58,50 @@
 
     ReplicaIdentity identity;
     Random random;
-    PeerBook peers;
+    PeerSelector peers;
     SubtreeTable table;
     ServiceCalls calls;
-    Pursuit pursuit;
+    PullSchedule pulls;
     SettingsPtr current;
     std::vector<SettingsAction> actions;
 
-    bool begun = false;                 ///< The first event was handled.
-    bool started = false;               ///< Settings may go into force.
-    bool changed = false;               ///< A subtree changed since `current` was made.
-    bool peerAnswered = false;          ///< A peer that has settings in force answered.
-    bool serviceRead = false;           ///< The service answered at least once.
-    std::optional<Instant> startsAt;    ///< When what was read goes into force without more peers.
-    std::set<SettingsIndex> chased;     ///< Heard, beyond what is held.
-    std::set<SettingsIndex> distrusted; ///< Heard, but nowhere to be found.
-    Instant distrustedUntil;
-    UpstreamId hint = 0; ///< Said to hold what is chased.
-    Instant nextDirect;
-    Duration directWait{0};
-    unsigned peersToAsk = 0; ///< Pulls still wanted although no higher index was heard.
+    bool initialized = false;        ///< The first event was handled.
+    bool started = false;            ///< Settings may go into force.
+    bool changed = false;            ///< A subtree changed since `current` was created.
+    bool peerAnswered = false;       ///< A peer that has settings in force answered.
+    bool serviceRead = false;        ///< The service answered at least once.
+    std::optional<Instant> startsAt; ///< When the texts are put in force without waiting for peers.
+    std::set<SettingsIndex> missingIndices; ///< Advertised indices beyond that of `table`.
+    std::set<SettingsIndex> unavailableIndices; ///< Advertised indices that were not found.
+    Instant unavailableUntil;
+    UpstreamId likelyHolder = 0; ///< The peer reported to have a missing index.
+    Instant nextDirectRead;
+    Duration directReadInterval{0};
+    unsigned peersToAsk = 0; ///< Remaining pulls that need no higher index.
     Instant nextAudit;
     Instant nextIdlePull;
     Instant nextRefusedPull;
-    unsigned differing = 0; ///< Answers in a row that told of a difference.
-    bool listNext = false;  ///< The next pull lists every index held.
-    unsigned idlePulls = 0; ///< Since one listed every index held.
+    unsigned differingReplies = 0; ///< Consecutive replies that reported a difference.
+    bool listNext = false;         ///< The next pull lists the index of every subtree.
+    unsigned idlePulls = 0;        ///< Idle pulls since the last that listed all indices.
     bool behindLogged = false;
 
     auto log(LogLine line) -> void { actions.emplace_back(WriteLog{std::move(line)}); }
 
     auto begin(Instant now) -> void
     {
-        if (begun) {
+        if (initialized) {
             return;
         }
-        begun = true;
-        calls.holdUntil(now + between(Duration(0), startJitter, random));
-        planAudit(now);
-        pursuit.begin(now, random);
+        initialized = true;
+        calls.delayUntil(now + between(Duration(0), startJitter, random));
+        scheduleAudit(now);
+        pulls.begin(now, random);
     }
 
-    auto planAudit(Instant now) -> void
+    auto scheduleAudit(Instant now) -> void
     {
-        nextAudit = now + between(auditPeriod / 2, auditPeriod * 3 / 2, random);
+        nextAudit = now + between(auditInterval / 2, auditInterval * 3 / 2, random);
     }
 
     // Events.
@@ -110,7 +113,7 @@
             return;
         }
         serviceRead = true;
-        noteBehind(read);
+        reportServiceBehind(read);
         for (const auto &removal : table.removedBy(read)) {
             offer(removal, now);
         }
@@ -118,8 +121,8 @@
             offer(text, now);
         }
         table.completeUpTo(read.index);
-        planStart(now);
-        planDirect(now);
+        scheduleStart(now);
+        scheduleDirectRead(now);
     }
 
     auto take(const SettingsReadFailed & /*event*/, Instant now) -> void
@@ -135,82 +138,84 @@
         }
         table.completeUpTo(reply.index);
         peerAnswered = peerAnswered || reply.index != 0;
-        noteDifference(reply);
+        countDifference(reply);
         if (partial) {
-            listNext = true; // `since` has not risen, and would bring the same part again.
-            pursuit.partial(now);
+            listNext = true; // `since` is unchanged and would return the same part again.
+            pulls.partial(now);
             return;
         }
         if (reply.index != 0) {
-            planStart(now);
+            scheduleStart(now);
         }
         peersToAsk -= peersToAsk > 0 && reply.index != 0 ? 1 : 0;
-        pursuit.unsatisfied(now, random);
+        pulls.unsatisfied(now, random);
     }
 
-    auto noteDifference(const SettingsReply &reply) -> void
+    auto countDifference(const SettingsReply &reply) -> void
     {
-        differing = reply.differs ? differing + 1 : 0;
-        if (differing >= differingAnswers) {
-            differing = 0;
+        differingReplies = reply.differs ? differingReplies + 1 : 0;
+        if (differingReplies >= maxDifferingReplies) {
+            differingReplies = 0;
             listNext = true;
         }
     }
 
     auto take(const SettingsPull &pull, Instant /*now*/) -> void
     {
-        auto reply = started ? table.answer(pull, replyBytes) : SettingsReply();
+        auto reply = started ? table.answer(pull, maxReplyBytes) : SettingsReply();
         actions.emplace_back(AnswerPull{std::move(reply)});
     }
 
     auto take(const SettingsIndexHeard &event, Instant now) -> void
     {
-        const auto doubtful = distrusted.count(event.index) != 0 && now < distrustedUntil;
-        if (event.index <= table.index() || doubtful) {
+        const auto isUnavailable = unavailableIndices.count(event.index) != 0 && now < unavailableUntil;
+        if (event.index <= table.index() || isUnavailable) {
             return;
         }
         if (event.from != 0) {
-            hint = event.from;
+            likelyHolder = event.from;
         }
-        if (!chased.insert(event.index).second) {
+        if (!missingIndices.insert(event.index).second) {
             return;
         }
-        if (chased.size() > mostChased) {
-            chased.erase(std::prev(chased.end()));
+        if (missingIndices.size() > maxMissingIndices) {
+            missingIndices.erase(std::prev(missingIndices.end()));
         }
-        pursuit.end();
+        pulls.end();
     }
 
     auto take(const HostListRead &event, Instant /*now*/) -> void { peers.setHosts(event.list); }
 
     auto take(const SettingsTick & /*event*/, Instant /*now*/) -> void { }
 
-    auto planStart(Instant now) -> void
+    auto scheduleStart(Instant now) -> void
     {
         if (!startsAt) {
-            startsAt = now + startWait;
+            startsAt = now + startDelay;
         }
     }
 
-    /// A service that lacks what peers speak of lags; it is asked ever more rarely.
-    auto planDirect(Instant now) -> void
+    /// Schedules the next direct read. A service without the index advertised by peers lags and is
+    /// read at increasing intervals.
+    auto scheduleDirectRead(Instant now) -> void
     {
-        const auto lacking = isBehind();
-        directWait =
-            lacking ? std::clamp(directWait * 2, firstDirectWait, longestDirectWait) : Duration(0);
-        nextDirect = now + between(directWait / 2, directWait * 3 / 2, random);
+        const auto behind = isBehind();
+        directReadInterval = behind
+            ? std::clamp(directReadInterval * 2, minDirectReadInterval, maxDirectReadInterval)
+            : Duration(0);
+        nextDirectRead = now + between(directReadInterval / 2, directReadInterval * 3 / 2, random);
     }
 
-    // Texts.
+    // Offering texts.
 
     auto offer(const SettingsText &text, Instant now) -> void
     {
-        const auto taken = table.offer(text, now);
-        if (taken == Taken::Known) {
+        const auto result = table.offer(text, now);
+        if (result == OfferResult::Known) {
             return;
         }
         const auto status = table.find(text.team);
-        if (taken == Taken::Refused) {
+        if (result == OfferResult::Refused) {
             LogLine line("settings-refused");
             line.add("team", text.team).add("index", static_cast<std::int64_t>(text.index));
             line.add("in_force", static_cast<std::int64_t>(status.inForce));
@@ -221,21 +226,22 @@
             return;
         }
         changed = true;
-        LogLine line(taken == Taken::Removed ? "settings-removed" : "settings-accepted");
+        LogLine line(result == OfferResult::Removed ? "settings-removed" : "settings-accepted");
         log(line.add("team", text.team).add("index", static_cast<std::int64_t>(text.index)));
     }
 
-    /// A peer may have seen an accepted text that this process missed before the refused one.
+    /// A peer may have an accepted text from before the refused one that this process missed.
     auto askPeersForAccepted(Instant now) -> void
     {
         constexpr unsigned peersAsked = 3;
         peersToAsk = std::max(peersToAsk, peersAsked);
-        nextRefusedPull = now + between(refusedPeriod / 2, refusedPeriod * 3 / 2, random);
+        nextRefusedPull =
+            now + between(refusedPullInterval / 2, refusedPullInterval * 3 / 2, random);
     }
 
-    /// An operator who set the service back to a backup sees no change arrive until its index has
-    /// passed the one in force; this line tells why.
-    auto noteBehind(const SettingsRead &read) -> void
+    /// Logs that the service is behind. After an operator restores the service from a backup, no
+    /// change takes effect until the service's index exceeds the one in force.
+    auto reportServiceBehind(const SettingsRead &read) -> void
     {
         const auto behind = read.index < table.index();
         if (behind && !behindLogged) {
@@ -246,19 +252,19 @@
         behindLogged = behind;
     }
 
-    // What follows from the tables, after each event.
+    // State updates after each event.
 
-    auto settle(Instant now) -> void
+    auto update(Instant now) -> void
     {
-        chased.erase(chased.begin(), chased.upper_bound(table.index()));
+        missingIndices.erase(missingIndices.begin(), missingIndices.upper_bound(table.index()));
         start(now);
         publish();
-        pursue(now);
+        pullMissing(now);
         callService(now);
     }
 
-    /// A service that lags could put an older text in force at a process that has just started;
-    /// its callers would meet limits that were lifted long ago. So peers are heard first.
+    /// A lagging service could give a process that has just started an older text, and its callers
+    /// would be subject to limits that were lifted long ago. So peers are queried first.
     auto start(Instant now) -> void
     {
         const auto enough = peerAnswered && !isBehind();
@@ -293,39 +299,39 @@
         return !started || isBehind() || peersToAsk > 0;
     }
 
-    /// True while a higher index was heard of than is held.
+    /// Returns true while an advertised index is higher than that of the table.
     [[nodiscard]] auto isBehind() const -> bool
     {
-        return !chased.empty() && *chased.rbegin() > table.index();
+        return !missingIndices.empty() && *missingIndices.rbegin() > table.index();
     }
 
-    auto pursue(Instant now) -> void
+    auto pullMissing(Instant now) -> void
     {
         if (started && table.anyRefused() && now >= nextRefusedPull) {
             askPeersForAccepted(now);
             peersToAsk = 1;
         }
         if (!needsPeers()) {
-            pursuit.end();
-            pullIdly(now);
+            pulls.end();
+            pullPeriodically(now);
             return;
         }
-        if (pursuit.due(now) && pursuit.exhausted() && started) {
+        if (pulls.due(now) && pulls.exhausted() && started) {
             giveUp(now);
             return;
         }
-        pursuit.begin(now, random);
-        if (!pursuit.due(now)) {
+        pulls.begin(now, random);
+        if (!pulls.due(now)) {
             return;
         }
         const auto peer = nextPeer();
-        pursuit.sent(peer, now, random);
+        pulls.sent(peer, now, random);
         actions.emplace_back(PullFromPeer{peer, nextPull()});
     }
 
-    /// At full size a list of all indices is 15 KB, so that a pull names their hash instead. Two
-    /// sets with the same hash would hide a change for good; so one idle pull in ten minutes lists
-    /// them whatever the hash.
+    /// A list of all indices is 15 KB at full fleet size, so a pull contains their hash instead.
+    /// A hash collision would hide a change permanently, so one idle pull in ten minutes lists the
+    /// indices regardless of the hash.
     [[nodiscard]] auto nextPull() -> SettingsPull
     {
         const auto acceptedOnly = peersToAsk > 0;
@@ -335,14 +341,14 @@
         return {{}, true, table.index(), table.hash()};
     }
 
-    /// Digests are datagrams: a process behind a lossy link may hear of a change late. One small
-    /// pull now and then bounds how late.
-    auto pullIdly(Instant now) -> void
+    /// Digests are datagrams, so a process behind a lossy link may learn of a change late. A small
+    /// periodic pull limits the delay.
+    auto pullPeriodically(Instant now) -> void
     {
         if (now < nextIdlePull) {
             return;
         }
-        nextIdlePull = now + between(idlePeriod * 3 / 4, idlePeriod * 5 / 4, random);
+        nextIdlePull = now + between(idlePullInterval * 3 / 4, idlePullInterval * 5 / 4, random);
         const auto peer = peers.pick({}, PeerChoice::Any, random);
         if (++idlePulls >= idlePullsPerList) {
             idlePulls = 0;
@@ -351,39 +357,41 @@
         actions.emplace_back(PullFromPeer{peer, nextPull()});
     }
 
-    /// The peer whose answer was cut, else the one said to hold the index, else one at random.
+    /// Returns the peer whose last answer was partial, else the one reported to have the index,
+    /// else a random one.
     [[nodiscard]] auto nextPeer() -> UpstreamId
     {
-        const auto last = pursuit.lastAsked();
-        if (last != 0 && pursuit.asked().count(last) == 0) {
+        const auto last = pulls.lastAsked();
+        if (last != 0 && pulls.asked().count(last) == 0) {
             return last;
         }
-        const auto hinted = std::exchange(hint, 0);
-        if (hinted != 0 && hinted != identity.self) {
-            return hinted;
+        const auto holder = std::exchange(likelyHolder, 0);
+        if (holder != 0 && holder != identity.self) {
+            return holder;
         }
-        return peers.pick(pursuit.asked(), pursuit.choice(), random);
+        return peers.pick(pulls.asked(), pulls.choice(), random);
     }
 
-    /// An index that neither peers nor the service have was damaged on its way, or its only holder
-    /// is gone. Looking for it on and on would hide the next true one, so that changes would arrive
-    /// late here only.
+    /// An index that neither peers nor the service have was corrupted in transit, or the only
+    /// process that had it is gone. A continued search would mask the next valid index and delay
+    /// changes at this process only.
     auto giveUp(Instant now) -> void
     {
-        if (!chased.empty()) {
+        if (!missingIndices.empty()) {
             LogLine line("settings-index-not-found");
-            log(line.add("index", static_cast<std::int64_t>(*chased.rbegin())));
-            distrusted = std::move(chased);
-            distrustedUntil = now + between(distrustPeriod / 2, distrustPeriod * 3 / 2, random);
+            log(line.add("index", static_cast<std::int64_t>(*missingIndices.rbegin())));
+            unavailableIndices = std::move(missingIndices);
+            unavailableUntil =
+                now + between(unavailableLifetime / 2, unavailableLifetime * 3 / 2, random);
         }
-        chased.clear();
+        missingIndices.clear();
         peersToAsk = 0;
-        pursuit.end();
+        pulls.end();
     }
 
     auto callService(Instant now) -> void
     {
-        const auto missing = isBehind() && pursuit.wantsService() && now >= nextDirect;
+        const auto missing = isBehind() && pulls.wantsService() && now >= nextDirectRead;
         if (!calls.mayCall(now)) {
             return;
         }
@@ -392,7 +400,7 @@
         } else if (peers.isReader()) {
             ask(table.index(), now);
         } else if (now >= nextAudit) {
-            planAudit(now);
+            scheduleAudit(now);
             ask(table.index(), now);
         }
     }
@@ -415,7 +423,7 @@
     state_->actions.clear();
     state_->begin(now);
     std::visit([this, now](const auto &one) { state_->take(one, now); }, event);
-    state_->settle(now);
+    state_->update(now);
     return std::move(state_->actions);
 }
 
--- a/src/core/sidecar-answers.cc
+++ b/src/core/sidecar-answers.cc
@@ -26,7 +26,7 @@
     return found == byRequest.end() ? nullptr : &jobs.at(found->second);
 }
 
-auto SidecarNode::State::read(Job &job, Reader reader) -> void
+auto SidecarNode::State::addReader(Job &job, Reader reader) -> void
 {
     std::erase_if(job.readers, [&](const Reader &other) {
         return other.link == reader.link && other.request == reader.request;
@@ -66,7 +66,7 @@
                   job.replayed || reader.replayed, job.warm});
     reader.headSent = true;
     sendBytes(*answer, reader);
-    if (job.phase != JobPhase::Whole)
+    if (job.phase != JobPhase::Complete)
         return false;
     send(reader.link,
          End{reader.request, answer->length(), answer->hash(),
@@ -93,13 +93,13 @@
         answers.acknowledge(job->run, message.offset);
         Reader reader{link, message.request, lastAttempt(*job, message.request), message.offset};
         reader.resumed = true;
-        read(*job, std::move(reader));
+        addReader(*job, std::move(reader));
         return;
     }
     const auto isGone =
         job != nullptr || startedBefore.find(stableHash(message.request), now) != nullptr;
-    const auto mayBeHeld = pool.kind == settings::PoolKind::Model && settings;
-    if (!isGone && mayBeHeld && queue.size() < pool.queueLimit) {
+    const auto mayBeAtEngine = pool.kind == settings::PoolKind::Model && settings;
+    if (!isGone && mayBeAtEngine && queue.size() < pool.queueLimit) {
         continueStream(link, message);
         return;
     }
@@ -117,7 +117,7 @@
     const auto slash = message.customer.find('/');
     auto &job = jobs[run];
     job.run = run;
-    job.names = {message.request};
+    job.requestIds = {message.request};
     job.notAfter = now + pool.maxDeadline;
     job.acceptedAt = now;
     job.continued = true;
@@ -130,7 +130,7 @@
     waiting.id = run;
     queue.push(waiting, pool.queueOrder);
     logJob("admit", message.request, job.terms, "continue");
-    read(job, {link, message.request, 0, message.offset});
+    addReader(job, {link, message.request, 0, message.offset});
     dispatch();
 }
 
@@ -148,11 +148,11 @@
 {
     auto *job = findJob(message.request);
     const auto isOfJob = job != nullptr
-        && std::any_of(job->attempts.begin(), job->attempts.end(), [&](const auto &seen) {
-                             return seen.first == message.request && seen.second == message.attempt;
+        && std::any_of(job->attempts.begin(), job->attempts.end(), [&](const auto &known) {
+                             return known.first == message.request && known.second == message.attempt;
                          });
     const auto run = isOfJob ? revokeJob(*job, link, message) : revokeUnknown(message);
-    endedAttempts.put(attemptHash(message.request, message.attempt), run, attemptMemory());
+    endedAttempts.put(attemptHash(message.request, message.attempt), run, attemptExpiry());
     log(LogLine("revoke").add("request", message.request).add("run", runName(run)));
     send(link, Revoked{message.request, message.attempt, run});
     dispatch();
@@ -167,7 +167,7 @@
         return !isOfAnother && reader.request == message.request
             && reader.attempt == message.attempt;
     });
-    if (job.phase == JobPhase::Whole)
+    if (job.phase == JobPhase::Complete)
         return Run::Ran;
     if (job.phase == JobPhase::Failed)
         return job.failure.run;
@@ -182,7 +182,7 @@
     // let finish and recorded, so that the next send of its key is answered.
     if (job.phase == JobPhase::Running && !job.isRunOnce())
         cancel(job, refusalOf(ErrorKind::Revoked, Run::Unknown, "revoked"), "revoked");
-    job.unreadSince = listened;
+    job.unreadSince = stallAwareNow;
     return Run::Unknown;
 }
 
@@ -196,12 +196,12 @@
     const auto mayBeForgotten =
         startedBefore.forgottenUntil() > now || endedAttempts.forgottenUntil() > now;
     const auto isOurs = message.target == identity.incarnation;
-    const auto isOldEnough = message.target == 0 && now - begunAt >= 2 * pool.maxDeadline;
+    const auto isOldEnough = message.target == 0 && now - initializedAt >= 2 * pool.maxDeadline;
     return !mayBeForgotten && (isOurs || isOldEnough) ? Run::NotRun : Run::Unknown;
 }
 
 // The store gave these answers up: finished ones are forgotten, running ones are stopped.
-auto SidecarNode::State::answersGivenUp(const std::vector<RunId> &runs) -> void
+auto SidecarNode::State::handleEvicted(const std::vector<RunId> &runs) -> void
 {
     for (const auto run : runs) {
         const auto found = jobs.find(run);
@@ -223,7 +223,7 @@
     const auto found = jobs.find(run);
     if (found == jobs.end())
         return;
-    for (const auto &name : found->second.names)
+    for (const auto &name : found->second.requestIds)
         byRequest.erase(name);
     answers.drop(run);
     active.erase(run);
--- a/src/core/sidecar-crashes.cc
+++ b/src/core/sidecar-crashes.cc
@@ -9,21 +9,21 @@
 
 // The second try begins no sooner after the crash: copies that ran elsewhere at that instant crash
 // first, and their notices arrive.
-constexpr Duration beforeSecondTry = std::chrono::milliseconds(500);
+constexpr Duration secondTryDelay = std::chrono::milliseconds(500);
 
 // A pool of two loses no third upstream.
-constexpr std::size_t largestUnheldPool = 2;
+constexpr std::size_t maxPoolWithoutDelay = 2;
 
 // A report of the same epoch counts only when it cannot have been on its way before the break.
 constexpr Duration reportDelay = std::chrono::milliseconds(300);
 
 // Reports come every second; without one for longer the break counts as a mere failure.
-constexpr Duration longestDoubt = std::chrono::milliseconds(1500);
+constexpr Duration lostRunTimeout = std::chrono::milliseconds(1500);
 
 // Breaks this long after a crash was seen belong to it.
-constexpr Duration sameCrash = std::chrono::seconds(2);
+constexpr Duration crashWindow = std::chrono::seconds(2);
 
-constexpr std::size_t severalLost = 2;
+constexpr std::size_t minLostRunsOfCrash = 2;
 
 } // namespace
 
@@ -35,7 +35,7 @@
     if (!event.reachable) {
         if (!inPhase(JobPhase::Lost).empty())
             declareCrash("unreachable");
-        watchJobs();
+        checkJobs();
         return;
     }
     const auto restarted = !epoch.empty() && epoch != event.epoch;
@@ -44,10 +44,10 @@
         chats.evictedAll();
         if (running != 0 || !inPhase(JobPhase::Lost).empty()) {
             declareCrash("restarted");
-            stopAll();
+            cancelRunning();
         }
     }
-    settleLost(reportDelay, false);
+    failLostRuns(reportDelay, false);
     if (!fencing.observe(event.fence) && !ordersStopped) {
         ordersStopped = true;
         log(LogLine("orders-stopped").add("fence", static_cast<std::int64_t>(event.fence)));
@@ -69,21 +69,21 @@
 // One broken run may be a mere failure of the upstream; it is decided by the next report. Its
 // router is told only then: told at once, it could run a crashing request at a third upstream
 // before the notices of the first two have spread.
-auto SidecarNode::State::lostOne(Job &job) -> void
+auto SidecarNode::State::handleLostRun(Job &job) -> void
 {
-    const auto isLate = crashAt && now - *crashAt < sameCrash && crashRuns.contains(job.run);
+    const auto isLate = crashAt && now - *crashAt < crashWindow && crashRuns.contains(job.run);
     if (isLate) {
-        noteCrash(job);
-        tellAll();
-        settleLost(Duration::zero(), true);
+        recordCrash(job);
+        broadcastCrashes();
+        failLostRuns(Duration::zero(), true);
         return;
     }
     std::size_t lost = 0;
     for (const auto run : inPhase(JobPhase::Lost)) {
-        if (jobs.at(run).brokenHow == RunBreak::Lost)
+        if (jobs.at(run).breakKind == RunBreak::Lost)
             ++lost;
     }
-    if (lost >= severalLost || (report && !report->reachable))
+    if (lost >= minLostRunsOfCrash || (report && !report->reachable))
         declareCrash("lost");
 }
 
@@ -99,12 +99,12 @@
             .add("sequence", crashSequence)
             .add("running", static_cast<std::int64_t>(stillRunning.size())));
     for (const auto run : inPhase(JobPhase::Lost))
-        noteCrash(jobs.at(run));
-    tellAll();
-    settleLost(Duration::zero(), true);
+        recordCrash(jobs.at(run));
+    broadcastCrashes();
+    failLostRuns(Duration::zero(), true);
 }
 
-auto SidecarNode::State::noteCrash(const Job &job) -> void
+auto SidecarNode::State::recordCrash(const Job &job) -> void
 {
     if (job.terms.fingerprint == 0)
         return;
@@ -114,29 +114,29 @@
 }
 
 // The upstream process is another one: nothing that ran in the old one will ever answer.
-auto SidecarNode::State::stopAll() -> void
+auto SidecarNode::State::cancelRunning() -> void
 {
     const auto stopped = inPhase(JobPhase::Running);
     for (const auto run : stopped)
-        noteCrash(jobs.at(run));
+        recordCrash(jobs.at(run));
     if (!stopped.empty())
-        tellAll();
+        broadcastCrashes();
     for (const auto run : stopped) {
         auto &job = jobs.at(run);
-        cancel(job, failureOfLost(job, true), "crash");
+        cancel(job, lostRunFailure(job, true), "crash");
     }
 }
 
-auto SidecarNode::State::settleLost(Duration brokenFor, bool crashed) -> void
+auto SidecarNode::State::failLostRuns(Duration brokenFor, bool crashed) -> void
 {
     for (const auto run : inPhase(JobPhase::Lost)) {
         auto &job = jobs.at(run);
         if (now - job.brokenAt >= brokenFor)
-            fail(job, failureOfLost(job, crashed), crashed ? "crash" : "broken");
+            fail(job, lostRunFailure(job, crashed), crashed ? "crash" : "broken");
     }
 }
 
-auto SidecarNode::State::failureOfLost(const Job &job, bool crashed) const -> Failure
+auto SidecarNode::State::lostRunFailure(const Job &job, bool crashed) const -> Failure
 {
     if (job.continued)
         return refusalOf(ErrorKind::AnswerLost, Run::Unknown, "no such answer");
@@ -151,14 +151,14 @@
 
 // After one crash the request has one more try, at an upstream that it names itself. Were any
 // other to take it, repeats that are under way at the same time would each cost an upstream.
-auto SidecarNode::State::secondTryAt(Fingerprint fingerprint) const -> std::optional<UpstreamId>
+auto SidecarNode::State::secondTryUpstream(Fingerprint fingerprint) const -> std::optional<UpstreamId>
 {
     const auto crashedAt = crashes.upstreams(fingerprint, now);
     if (crashedAt.empty())
         return std::nullopt;
     auto candidates = pool.members;
     std::erase_if(candidates, [&](const settings::Member &member) {
-        return member.id == crashedAt.front() || isGone(member);
+        return member.id == crashedAt.front() || isUnlisted(member);
     });
     if (candidates.empty())
         return std::nullopt;
@@ -167,17 +167,17 @@
 
 // Copies that run at several upstreams at one instant would crash each of those and, were the
 // second try to begin at once, its own as well.
-auto SidecarNode::State::mayStartAt(const Job &job) const -> Instant
+auto SidecarNode::State::earliestStart(const Job &job) const -> Instant
 {
     const auto crashedAt = crashes.lastAt(job.terms.fingerprint, now);
-    const auto waits = crashedAt && pool.members.size() > largestUnheldPool;
-    return waits ? *crashedAt + beforeSecondTry : now;
+    const auto waits = crashedAt && pool.members.size() > maxPoolWithoutDelay;
+    return waits ? *crashedAt + secondTryDelay : now;
 }
 
-auto SidecarNode::State::watchHeld() -> void
+auto SidecarNode::State::releaseDelayed() -> void
 {
-    const auto watched = std::exchange(held, {});
-    for (const auto run : watched) {
+    const auto checked = std::exchange(delayed, {});
+    for (const auto run : checked) {
         const auto found = jobs.find(run);
         if (found == jobs.end() || found->second.phase != JobPhase::Waiting)
             continue;
@@ -185,16 +185,16 @@
         if (crashes.isSuspect(job.terms.fingerprint, now))
             fail(job, refusalOf(ErrorKind::CrashSuspect, Run::NotRun, "crashed two upstreams"),
                  "crash-suspect");
-        else if (mayStartAt(job) > now)
-            held.insert(run);
+        else if (earliestStart(job) > now)
+            delayed.insert(run);
         else
             enqueue(job);
     }
 }
 
-auto SidecarNode::State::watchLost() -> void
+auto SidecarNode::State::checkLostRuns() -> void
 {
-    settleLost(longestDoubt, false);
+    failLostRuns(lostRunTimeout, false);
 }
 
 } // namespace applehatch::core
--- a/src/core/sidecar-keys.cc
+++ b/src/core/sidecar-keys.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // A ticket is remembered until it expires, so its lifetime must be bounded too.
-constexpr Duration longestTicket = std::chrono::hours(1);
+constexpr Duration maxTicketLifetime = std::chrono::hours(1);
 
 } // namespace
 
@@ -39,10 +39,10 @@
         return true;
     }
     auto &job = found->second;
-    job.names.push_back(message.request);
+    job.requestIds.push_back(message.request);
     byRequest[message.request] = job.run;
     if (job.phase != JobPhase::Waiting)
-        startedBefore.put(stableHash(message.request), true, attemptMemory(message.notAfter));
+        startedBefore.put(stableHash(message.request), true, attemptExpiry(message.notAfter));
     if (!job.isActive())
         ++counted.replays;
     attach(link, message, job, "key");
@@ -55,7 +55,7 @@
     if (terms.idempotencyKey.empty())
         return std::nullopt;
     if (const auto expires = ticketKeyExpiry(terms.idempotencyKey)) {
-        if (message.target == 0 || *expires > now + longestTicket)
+        if (message.target == 0 || *expires > now + maxTicketLifetime)
             return Rejection{refusalOf(ErrorKind::BadRequest, Run::NotRun, "not a ticket of ours"),
                              0, "ticket"};
         if (*expires > now)
@@ -74,7 +74,7 @@
         return std::nullopt;
     // Within the window the key may have run at an earlier owner or in an earlier life, which
     // nobody here can ask.
-    auto openAt = begunAt + pool.resendWindow;
+    auto openAt = initializedAt + pool.resendWindow;
     for (const auto &past : pastMembers) {
         if (rendezvousOwner(hash, past.members) != self)
             openAt = std::max(openAt, past.until);
@@ -106,9 +106,9 @@
     const auto run = ++lastRun;
     auto &job = jobs[run];
     job.run = run;
-    job.phase = JobPhase::Whole;
+    job.phase = JobPhase::Complete;
     job.terms = message.terms;
-    job.names = {message.request};
+    job.requestIds = {message.request};
     job.attempts = {{message.request, message.attempt}};
     job.headKnown = true;
     job.replayed = true;
@@ -119,11 +119,11 @@
     const auto dropped = answers.append(run, answer->body);
     answers.finish(run, now);
     logJob("replay", message.request, message.terms, "key");
-    read(job, {link, message.request, message.attempt});
-    answersGivenUp(dropped);
+    addReader(job, {link, message.request, message.attempt});
+    handleEvicted(dropped);
 }
 
-auto SidecarNode::State::closeKey(const Job &job, Run run) -> void
+auto SidecarNode::State::finishKey(const Job &job, Run run) -> void
 {
     if (!job.isKeyed())
         return;
@@ -132,8 +132,8 @@
         return;
     }
     const auto *answer = answers.find(job.run);
-    const auto isWhole = job.phase == JobPhase::Whole && answer != nullptr && answer->base() == 0;
-    if (!isWhole) {
+    const auto isComplete = job.phase == JobPhase::Complete && answer != nullptr && answer->base() == 0;
+    if (!isComplete) {
         keys.markUnknown(job.keyName, keyLifetime(job));
         return;
     }
--- a/src/core/sidecar-leaving.cc
+++ b/src/core/sidecar-leaving.cc
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr std::size_t chatsHandedOff = 256;
-constexpr std::uint32_t handoffsAtOnce = 4;
+constexpr std::size_t maxHandoffs = 256;
+constexpr std::uint32_t maxConcurrentHandoffs = 4;
 
 // After this long the process no longer waits for contexts to be copied.
-constexpr Duration longestHandoff = std::chrono::seconds(20);
+constexpr Duration handoffTimeout = std::chrono::seconds(20);
 
 } // namespace
 
@@ -30,14 +30,14 @@
                 hostLeaving = host.state == HostState::Leaving;
         }
     }
-    leavingChanged(before);
+    handleLeavingChange(before);
 }
 
 auto SidecarNode::State::on(const DrainRequested & /*event*/) -> void
 {
     const auto before = isLeaving();
     drainRequested = true;
-    leavingChanged(before);
+    handleLeavingChange(before);
     checkDrained();
 }
 
@@ -51,13 +51,13 @@
         log(LogLine("cache-gap"));
 }
 
-auto SidecarNode::State::leavingChanged(bool before) -> void
+auto SidecarNode::State::handleLeavingChange(bool before) -> void
 {
     if (isLeaving() == before)
         return;
     log(LogLine("state").add("state", stateName(upstreamState())));
-    tellSome();
-    tellRouters();
+    advertiseToSome();
+    notifyRouters();
     if (!isLeaving()) {
         leavingSince.reset();
         handoffs.clear();
@@ -65,7 +65,7 @@
     }
     leavingSince = now;
     if (pool.kind == settings::PoolKind::Model) {
-        const auto hottest = chats.hottest(chatsHandedOff);
+        const auto hottest = chats.hottest(maxHandoffs);
         handoffs.assign(hottest.begin(), hottest.end());
     }
     handOffNext();
@@ -73,7 +73,7 @@
 
 auto SidecarNode::State::handOffNext() -> void
 {
-    while (!handoffs.empty() && handoffsOutstanding < handoffsAtOnce) {
+    while (!handoffs.empty() && handoffsOutstanding < maxConcurrentHandoffs) {
         const auto chat = handoffs.front();
         handoffs.pop_front();
         const auto order = rendezvousOrder(chat, pool.members);
@@ -101,7 +101,7 @@
 
 // Routers hold back word of answers that were taken until they know that this sidecar leaves. By
 // digests alone some would learn it late, and the stop would wait for their word.
-auto SidecarNode::State::tellRouters() -> void
+auto SidecarNode::State::notifyRouters() -> void
 {
     if (!isLeaving())
         return;
@@ -112,18 +112,18 @@
 
 auto SidecarNode::State::checkDrained() -> void
 {
-    if (!drainRequested || drainedTold || !active.empty())
+    if (!drainRequested || drainedReported || !active.empty())
         return;
     const auto handsOff = !handoffs.empty() || handoffsOutstanding != 0;
-    if (handsOff && leavingSince && now - *leavingSince < longestHandoff)
+    if (handsOff && leavingSince && now - *leavingSince < handoffTimeout)
         return;
     // An answer that no router has whole yet must outlive its link; its lifetime bounds the wait.
     const auto isAwaited = [](const auto &item) {
-        return item.second.phase == JobPhase::Whole && !item.second.replayed;
+        return item.second.phase == JobPhase::Complete && !item.second.replayed;
     };
     if (std::any_of(jobs.begin(), jobs.end(), isAwaited))
         return;
-    drainedTold = true;
+    drainedReported = true;
     log(LogLine("drained"));
     out.emplace_back(Drained{});
 }
--- a/src/core/sidecar-links.cc
+++ b/src/core/sidecar-links.cc
@@ -6,8 +6,8 @@
 
 auto SidecarNode::State::on(const PeerLinkUp &event) -> void
 {
-    links[event.link] = {listened, now};
-    tellClock(event.link);
+    links[event.link] = {stallAwareNow, now};
+    sendClock(event.link);
 }
 
 auto SidecarNode::State::on(const PeerLinkDown &event) -> void
@@ -20,12 +20,12 @@
 {
     const auto link = links.find(event.link);
     if (link != links.end())
-        link->second.heardAt = listened;
+        link->second.lastSignAt = stallAwareNow;
 }
 
-auto SidecarNode::State::tellClock(LinkId link) -> void
+auto SidecarNode::State::sendClock(LinkId link) -> void
 {
-    links[link].clockToldAt = now;
+    links[link].clockSentAt = now;
     send(link, Heartbeat{identity.incarnation, now});
 }
 
@@ -33,7 +33,7 @@
 // track of it. Its router then waits for bytes that never come. Neither end sees an error; only
 // that nothing is taken any more shows it, and closing lets the router resume on a new link. A
 // router that hears nothing itself asks each second, so a live one is never without a sign.
-auto SidecarNode::State::watchLinks() -> void
+auto SidecarNode::State::checkLinks() -> void
 {
     std::set<LinkId> outstanding;
     for (const auto run : active) {
@@ -44,15 +44,15 @@
         const auto found = links.find(id);
         if (found == links.end())
             continue;
-        if (listened - found->second.heardAt >= limits.silence) {
+        if (stallAwareNow - found->second.lastSignAt >= limits.silence) {
             log(LogLine("link-silent")
                     .add("link", static_cast<std::int64_t>(id))
-                    .add("silent_us", Duration(listened - found->second.heardAt).count()));
+                    .add("silent_us", Duration(stallAwareNow - found->second.lastSignAt).count()));
             links.erase(found);
             dropReaders(id);
             out.emplace_back(ClosePeer{id});
-        } else if (now - found->second.clockToldAt >= limits.clockPeriod) {
-            tellClock(id);
+        } else if (now - found->second.clockSentAt >= limits.clockInterval) {
+            sendClock(id);
         }
     }
 }
@@ -64,7 +64,7 @@
         const auto dropped = std::erase_if(
             job.readers, [link](const Reader &reader) { return reader.link == link; });
         if (dropped != 0 && job.readers.empty())
-            job.unreadSince = listened;
+            job.unreadSince = stallAwareNow;
     }
 }
 
--- a/src/core/sidecar-node.cc
+++ b/src/core/sidecar-node.cc
@@ -10,10 +10,10 @@
 namespace {
 
 // Without an event for this long the process slept: the host ticks every 50 ms.
-constexpr Duration sleepGap = std::chrono::seconds(3);
-constexpr Duration expiryPeriod = std::chrono::seconds(1);
+constexpr Duration suspensionThreshold = std::chrono::seconds(3);
+constexpr Duration expiryInterval = std::chrono::seconds(1);
 // Entries of one table visited in one period; its largest is gone through in about 20 s.
-constexpr std::size_t expiredAtOnce = 5000;
+constexpr std::size_t maxBucketsPerExpiry = 5000;
 
 } // namespace
 
@@ -35,10 +35,10 @@
 
 auto SidecarNode::State::advance(Instant to) -> void
 {
-    if (!begun) {
-        begun = true;
-        begunAt = to;
-    } else if (to - now > sleepGap) {
+    if (!initialized) {
+        initialized = true;
+        initializedAt = to;
+    } else if (to - now > suspensionThreshold) {
         // It woke from a sleep. What it knew of the others' load is old, and admitting by an old
         // mean could bury the upstream.
         loads = LoadTable();
@@ -49,7 +49,7 @@
     }
     // Two of the host's threads may read the clock in one order and get here in the other.
     now = std::max(now, to);
-    listened = listening.at(now);
+    stallAwareNow = stallAwareClock.at(now);
 }
 
 auto SidecarNode::State::on(FromPeer &event) -> void
@@ -58,7 +58,7 @@
     const auto link = links.find(event.link);
     if (link == links.end())
         return;
-    link->second.heardAt = listened;
+    link->second.lastSignAt = stallAwareNow;
     auto &message = event.message;
     if (auto *toSubmit = std::get_if<Submit>(&message))
         submit(event.link, std::move(*toSubmit));
@@ -69,33 +69,33 @@
     else if (const auto *acknowledged = std::get_if<Acknowledge>(&message))
         acknowledge(*acknowledged);
     else if (std::holds_alternative<Heartbeat>(message))
-        tellClock(event.link);
+        sendClock(event.link);
     else if (const auto *moved = std::get_if<Moved>(&message))
         chats.moved(moved->chat, moved->holder, now);
 }
 
 auto SidecarNode::State::on(const Tick & /*event*/) -> void
 {
-    listening.look(now);
-    watchLinks();
-    watchLost();
-    watchHeld();
-    watchJobs();
+    stallAwareClock.look(now);
+    checkLinks();
+    checkLostRuns();
+    releaseDelayed();
+    checkJobs();
     reviewQueue();
     dispatch();
     considerOrder();
     exchangeDigest();
-    if (now - expiredAt >= expiryPeriod) {
+    if (now - expiredAt >= expiryInterval) {
         expiredAt = now;
-        answersGivenUp(answers.expire(now));
+        handleEvicted(answers.expire(now));
         keys.expire(now);
-        endedAttempts.expireSome(now, expiredAtOnce);
-        startedBefore.expireSome(now, expiredAtOnce);
-        redirected.expireSome(now, expiredAtOnce);
+        endedAttempts.expireSome(now, maxBucketsPerExpiry);
+        startedBefore.expireSome(now, maxBucketsPerExpiry);
+        redirected.expireSome(now, maxBucketsPerExpiry);
         loads.expire(now);
         sums.expire(now);
         crashes.expire(now);
-        chats.expireSome(now, expiredAtOnce);
+        chats.expireSome(now, maxBucketsPerExpiry);
     }
     checkDrained();
 }
@@ -108,12 +108,12 @@
         return UpstreamState::Joining;
     if (!report->reachable)
         return UpstreamState::Down;
-    return outForChange || !holdsAnyModel() ? UpstreamState::Joining : UpstreamState::Serving;
+    return outForRollout || !holdsAnyModel() ? UpstreamState::Joining : UpstreamState::Serving;
 }
 
 auto SidecarNode::State::load() const -> std::uint32_t
 {
-    return running + static_cast<std::uint32_t>(queue.size() + held.size());
+    return running + static_cast<std::uint32_t>(queue.size() + delayed.size());
 }
 
 auto SidecarNode::State::view() const -> GossipView
--- a/src/core/sidecar-orders.cc
+++ b/src/core/sidecar-orders.cc
@@ -9,12 +9,12 @@
 
 // A report lags by up to a second; one that shows the order's effect comes after this.
 constexpr Duration reportLag = std::chrono::milliseconds(1500);
-constexpr Duration longestOrder = std::chrono::minutes(5);
+constexpr Duration orderTimeout = std::chrono::minutes(5);
 constexpr Duration firstBackoff = std::chrono::seconds(1);
-constexpr std::uint32_t mostDoublings = 6;
+constexpr std::uint32_t maxDoublings = 6;
 
 // The first report after a pause may have been read before it.
-constexpr std::uint32_t reportsToTrust = 2;
+constexpr std::uint32_t minReportsAfterPause = 2;
 
 } // namespace
 
@@ -34,7 +34,7 @@
     }
     // The weight store limits its rate; all engines of a rollout asking again at once would keep
     // each other out, so the wait doubles and is spread.
-    const auto wait = firstBackoff * (1U << std::min(orderFailures, mostDoublings));
+    const auto wait = firstBackoff * (1U << std::min(orderFailures, maxDoublings));
     orderNotBefore = now + wait + Duration(static_cast<Duration::rep>(random() % wait.count()));
     ++orderFailures;
 }
@@ -45,27 +45,27 @@
         return false;
     // An engine that ignores fencing numbers obeys a sidecar that slept as well as any other.
     const auto hasReread =
-        pool.fencing == settings::Fencing::Honored || reportsSincePause >= reportsToTrust;
+        pool.fencing == settings::Fencing::Honored || reportsSincePause >= minReportsAfterPause;
     return hasReread && now >= orderNotBefore && reportAt >= reportWantedAfter;
 }
 
 auto SidecarNode::State::considerOrder() -> void
 {
-    if (outstandingOrder && now - orderGivenAt >= longestOrder)
+    if (outstandingOrder && now - orderGivenAt >= orderTimeout)
         outstandingOrder.reset();
     if (outstandingOrder || !mayOrder())
         return;
     const auto change = nextChange(pool.models, report->models);
     if (!change) {
-        outForChange = false;
+        outForRollout = false;
         quietSince.reset();
         return;
     }
-    if (!outForChange && holdsAnyModel()) {
+    if (!outForRollout && holdsAnyModel()) {
         if (!hasTurn())
             return;
-        outForChange = true;
-        tellSome();
+        outForRollout = true;
+        advertiseToSome();
     }
     // Unloading a model under a running request would cut its answer off.
     const auto isIdle = running == 0 && queue.size() == 0;
@@ -87,7 +87,7 @@
         rollout.rank += member.id < self ? 1 : 0;
         const auto entry = loads.find(member.id, now);
         const auto serves = entry && entry->state == UpstreamState::Serving;
-        rollout.out += !serves && !isGone(member) ? 1 : 0;
+        rollout.out += !serves && !isUnlisted(member) ? 1 : 0;
     }
     if (rollout.out >= rollout.width) {
         quietSince.reset();
@@ -100,7 +100,7 @@
 
 // A host that the platform no longer lists. Counted as out, it would hold every rollout of its pool
 // until somebody takes the member out of the settings.
-auto SidecarNode::State::isGone(const settings::Member &member) const -> bool
+auto SidecarNode::State::isUnlisted(const settings::Member &member) const -> bool
 {
     const auto isIts = [&](const Host &host) { return host.ip == member.sidecar.ip; };
     return hostList && std::none_of(hostList->hosts.begin(), hostList->hosts.end(), isIts);
--- a/src/core/sidecar-plane.cc
+++ b/src/core/sidecar-plane.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // Members told at once that this upstream is leaving; the others hear it from them.
-constexpr std::size_t toldAtOnce = 3;
+constexpr std::size_t maxAdvertisedPeers = 3;
 
 auto sameMembers(const std::vector<settings::Member> &a, const std::vector<settings::Member> &b)
     -> bool
@@ -37,11 +37,11 @@
         crashes.apply(notice, now);
     if (!digest.wantsReply)
         return;
-    const auto isFromAfar = digest.entries.empty() && !digest.sums.empty();
-    DigestReader asker;
-    asker.isNear = !isFromAfar;
-    asker.known = digest.entries;
-    auto reply = digestFor(asker);
+    const auto isOtherDataCenter = digest.entries.empty() && !digest.sums.empty();
+    DigestReader recipient;
+    recipient.isNear = !isOtherDataCenter;
+    recipient.known = digest.entries;
+    auto reply = digestFor(recipient);
     if (replies.spend(digestSize(reply), now))
         out.emplace_back(SendDigest{0, std::move(reply)});
 }
@@ -72,7 +72,7 @@
     std::erase_if(pastMembers, [this](const PastMembers &past) { return past.until <= now; });
     if (hostList)
         on(HostListRead{*hostList});
-    leavingChanged(leavingBefore);
+    handleLeavingChange(leavingBefore);
     dispatch();
 }
 
@@ -106,7 +106,7 @@
         return;
     digestAt = now;
     const auto &peer = *others[random() % others.size()];
-    auto digest = digestFor({peer.dataCenter == identity.dataCenter, limits.toldEntries, {}});
+    auto digest = digestFor({peer.dataCenter == identity.dataCenter, limits.unsolicitedEntries, {}});
     digest.wantsReply = true;
     out.emplace_back(SendDigest{peer.id, std::move(digest)});
 }
@@ -116,7 +116,7 @@
     return composeDigest(view(), loads, sums, crashes, reader, now);
 }
 
-auto SidecarNode::State::tellAll() -> void
+auto SidecarNode::State::broadcastCrashes() -> void
 {
     refreshOwn();
     auto digest = digestFor({false, 0, {}});
@@ -128,7 +128,7 @@
     }
 }
 
-auto SidecarNode::State::tellSome() -> void
+auto SidecarNode::State::advertiseToSome() -> void
 {
     refreshOwn();
     std::vector<UpstreamId> others;
@@ -137,9 +137,9 @@
             others.push_back(member.id);
     }
     std::shuffle(others.begin(), others.end(), random);
-    others.resize(std::min(others.size(), toldAtOnce));
+    others.resize(std::min(others.size(), maxAdvertisedPeers));
     for (const auto id : others)
-        out.emplace_back(SendDigest{id, digestFor({true, limits.toldEntries, {}})});
+        out.emplace_back(SendDigest{id, digestFor({true, limits.unsolicitedEntries, {}})});
 }
 
 } // namespace applehatch::core
--- a/src/core/sidecar-runs.cc
+++ b/src/core/sidecar-runs.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr std::uint32_t mostReconnects = 2;
-constexpr Duration reviewPeriod = std::chrono::milliseconds(200);
-constexpr std::size_t mostReviewed = 256; ///< A review takes the square of the queue's length.
+constexpr std::uint32_t maxReconnects = 2;
+constexpr Duration reviewInterval = std::chrono::milliseconds(200);
+constexpr std::size_t maxReviewedRequests = 256; ///< A review takes the square of the queue's length.
 
 } // namespace
 
@@ -28,11 +28,11 @@
         else if (crashes.isSuspect(job.terms.fingerprint, now))
             fail(job, refusalOf(ErrorKind::CrashSuspect, Run::NotRun, "crashed two upstreams"),
                  "crash-suspect");
-        else if (secondTryAt(job.terms.fingerprint).value_or(self) != self)
+        else if (secondTryUpstream(job.terms.fingerprint).value_or(self) != self)
             fail(job, refusalOf(ErrorKind::NoUpstream, Run::NotRun, "crashed an upstream"),
                  "second-try-elsewhere");
-        else if (mayStartAt(job) > now)
-            held.insert(*next);
+        else if (earliestStart(job) > now)
+            delayed.insert(*next);
         else
             startRun(job);
     }
@@ -44,12 +44,12 @@
     job.startedAt = now;
     ++running;
     ++counted.runs;
-    for (const auto &name : job.names)
-        startedBefore.put(stableHash(name), true, attemptMemory(job.notAfter));
+    for (const auto &name : job.requestIds)
+        startedBefore.put(stableHash(name), true, attemptExpiry(job.notAfter));
     answers.begin(job.run, job.continuedFrom);
     StartRun action;
     action.run = job.run;
-    action.request = engineRequest(job.names.front(), fullCustomer(job.terms));
+    action.request = engineRequest(job.requestIds.front(), fullCustomer(job.terms));
     action.call = std::move(job.call);
     action.priority = job.terms.priority;
     action.chat = job.terms.chat;
@@ -79,7 +79,7 @@
     }
     if (job->reconnects > 0) {
         if (event.status != found)
-            cancel(*job, failureOfLost(*job, false), "not-held");
+            cancel(*job, lostRunFailure(*job, false), "not-held");
         return;
     }
     job->headKnown = true;
@@ -96,7 +96,7 @@
     if (job == nullptr)
         return;
     job->headKnown = true;
-    answersGivenUp(answers.append(event.run, event.data));
+    handleEvicted(answers.append(event.run, event.data));
     if (job->phase == JobPhase::Running)
         serve(*job);
 }
@@ -107,14 +107,14 @@
     if (job == nullptr)
         return;
     job->headKnown = true;
-    job->phase = JobPhase::Whole;
-    leaveUpstream(*job);
+    job->phase = JobPhase::Complete;
+    releaseSlot(*job);
     active.erase(job->run);
     answers.finish(job->run, now);
     if (!job->continued)
         serviceTime.record(now - job->startedAt);
     crashes.clear(job->terms.fingerprint, now);
-    closeKey(*job, Run::Ran);
+    finishKey(*job, Run::Ran);
     serve(*job);
     dispatch();
 }
@@ -124,21 +124,21 @@
     auto *job = findRunning(event.run);
     if (job == nullptr)
         return;
-    leaveUpstream(*job);
+    releaseSlot(*job);
     job->brokenAt = now;
-    job->brokenHow = event.how;
+    job->breakKind = event.how;
     if (event.how == RunBreak::NeverSent) {
-        for (const auto &name : job->names)
+        for (const auto &name : job->requestIds)
             startedBefore.erase(stableHash(name));
         fail(*job, refusalOf(ErrorKind::UpstreamFailed, Run::NotRun, "upstream takes no calls"),
              "never-sent");
     } else if (event.how == RunBreak::Silent && mayReconnect(*job)) {
         reconnect(*job);
     } else if (event.how == RunBreak::Silent) {
-        fail(*job, failureOfLost(*job, false), "silent");
+        fail(*job, lostRunFailure(*job, false), "silent");
     } else {
         job->phase = JobPhase::Lost;
-        lostOne(*job);
+        handleLostRun(*job);
     }
     dispatch();
 }
@@ -147,9 +147,9 @@
 // and running the request again would cost it twice.
 auto SidecarNode::State::mayReconnect(const Job &job) const -> bool
 {
-    const auto isHeld = pool.kind == settings::PoolKind::Model && job.call.stream && job.headKnown
+    const auto isResumable = pool.kind == settings::PoolKind::Model && job.call.stream && job.headKnown
         && !job.isRunOnce() && answers.find(job.run) != nullptr;
-    return isHeld && job.reconnects < mostReconnects && job.notAfter > now;
+    return isResumable && job.reconnects < maxReconnects && job.notAfter > now;
 }
 
 auto SidecarNode::State::reconnect(Job &job) -> void
@@ -159,14 +159,14 @@
     job.phase = JobPhase::Running;
     StartRun action;
     action.run = job.run;
-    action.request = engineRequest(job.names.front(), fullCustomer(job.terms));
+    action.request = engineRequest(job.requestIds.front(), fullCustomer(job.terms));
     action.call.stream = true;
     action.priority = job.terms.priority;
     action.chat = job.terms.chat;
     action.remaining = job.notAfter - now;
     action.resumeFrom = answers.find(job.run)->length();
     out.emplace_back(std::move(action));
-    logJob("reconnect", job.names.front(), job.terms, "silent");
+    logJob("reconnect", job.requestIds.front(), job.terms, "silent");
 }
 
 auto SidecarNode::State::fail(Job &job, Failure failure, std::string_view cause) -> void
@@ -179,12 +179,12 @@
         failure.run = Run::Unknown;
     job.failure = std::move(failure);
     active.erase(job.run);
-    closeKey(job, job.failure.run);
+    finishKey(job, job.failure.run);
     countRefusal(job.failure.kind);
     for (const auto &[request, attempt] : job.attempts)
         endedAttempts.put(attemptHash(request, attempt), job.failure.run,
-                          attemptMemory(job.notAfter));
-    logJob("fail", job.names.front(), job.terms, cause);
+                          attemptExpiry(job.notAfter));
+    logJob("fail", job.requestIds.front(), job.terms, cause);
     serve(job);
     // An empty finished answer keeps the job for its lifetime, so that a resume hears of it.
     answers.drop(job.run);
@@ -195,25 +195,25 @@
 auto SidecarNode::State::cancel(Job &job, Failure failure, std::string_view cause) -> void
 {
     out.emplace_back(CancelRun{job.run});
-    leaveUpstream(job);
+    releaseSlot(job);
     fail(job, std::move(failure), cause);
 }
 
-auto SidecarNode::State::leaveUpstream(Job &job) -> void
+auto SidecarNode::State::releaseSlot(Job &job) -> void
 {
     --running;
     crashRuns.erase(job.run);
 }
 
-auto SidecarNode::State::watchJobs() -> void
+auto SidecarNode::State::checkJobs() -> void
 {
-    const std::vector<RunId> watched(active.begin(), active.end());
-    for (const auto run : watched) {
+    const std::vector<RunId> checked(active.begin(), active.end());
+    for (const auto run : checked) {
         auto &job = jobs.at(run);
         if (job.phase == JobPhase::Waiting)
-            watchWaiting(job);
+            checkWaiting(job);
         else if (job.phase == JobPhase::Running)
-            watchRunning(job);
+            checkRunning(job);
     }
 }
 
@@ -221,7 +221,7 @@
 // the deadline for a refusal that was certain long before, so the queue is looked through again.
 auto SidecarNode::State::reviewQueue() -> void
 {
-    if (now - reviewedAt < reviewPeriod || queue.size() > mostReviewed)
+    if (now - reviewedAt < reviewInterval || queue.size() > maxReviewedRequests)
         return;
     reviewedAt = now;
     for (const auto &waiting : queue.all()) {
@@ -234,11 +234,11 @@
     }
 }
 
-auto SidecarNode::State::watchWaiting(Job &job) -> void
+auto SidecarNode::State::checkWaiting(Job &job) -> void
 {
     const auto mean = serviceTime.mean();
     const auto refuses = pool.queueOrder == settings::QueueOrder::DeadlineWithRefusal;
-    const auto isUnread = job.unreadSince && listened - *job.unreadSince >= limits.linkGrace;
+    const auto isUnread = job.unreadSince && stallAwareNow - *job.unreadSince >= limits.unreadTimeout;
     if (job.notAfter <= now)
         fail(job, refusalOf(ErrorKind::DeadlineExceeded, Run::NotRun, "waited too long"),
              "deadline");
@@ -253,9 +253,9 @@
         fail(job, refusalOf(ErrorKind::Revoked, Run::NotRun, "no router asked for it"), "unread");
 }
 
-auto SidecarNode::State::watchRunning(Job &job) -> void
+auto SidecarNode::State::checkRunning(Job &job) -> void
 {
-    const auto isUnread = job.unreadSince && listened - *job.unreadSince >= limits.linkGrace;
+    const auto isUnread = job.unreadSince && stallAwareNow - *job.unreadSince >= limits.unreadTimeout;
     if (job.notAfter <= now)
         cancel(job, refusalOf(ErrorKind::DeadlineExceeded, Run::Ran, "deadline passed"),
                "deadline");
--- a/src/core/sidecar-state.h
+++ b/src/core/sidecar-state.h
@@ -47,7 +47,7 @@
     Waiting,
     Running,
     Lost,  ///< Its connection broke; whether the upstream crashed is not known yet.
-    Whole, ///< The upstream ended its answer.
+    Complete, ///< The upstream ended its answer.
     Failed,
 };
 
@@ -60,14 +60,14 @@
     Call call;
     Instant notAfter;
     UpstreamId movedFrom = 0;
-    std::vector<RequestId> names; ///< Several when other requests carry the same key.
+    std::vector<RequestId> requestIds; ///< Several when other requests carry the same key.
     std::vector<std::pair<RequestId, std::uint32_t>> attempts;
     std::vector<Reader> readers;
     Instant acceptedAt;
     Instant startedAt;
     Instant brokenAt;
     std::optional<Instant> unreadSince; ///< Since when no link reads it; listening clock.
-    RunBreak brokenHow = RunBreak::Lost;
+    RunBreak breakKind = RunBreak::Lost;
     std::string keyName;    ///< Its name in the run-once table; empty without a key.
     bool continued = false; ///< Goes on with a stream of an earlier life.
     std::uint64_t continuedFrom = 0;
@@ -97,8 +97,8 @@
 
 struct PeerLink
 {
-    Instant heardAt; ///< Last message, or word that its process took ours; listening clock.
-    Instant clockToldAt;
+    Instant lastSignAt; ///< Last message, or word that its process took ours; listening clock.
+    Instant clockSentAt;
 };
 
 /// The member list of a moment in the past.
@@ -117,10 +117,10 @@
     UpstreamId self = 0;
     Random random;
     Instant now;
-    ListeningClock listening;
-    Instant listened; ///< `now` on the listening clock.
-    bool begun = false;
-    Instant begunAt;
+    ListeningClock stallAwareClock;
+    Instant stallAwareNow; ///< `now` on the listening clock.
+    bool initialized = false;
+    Instant initializedAt;
     std::vector<SidecarAction> out;
 
     // Settings, and what follows from them.
@@ -136,7 +136,7 @@
     bool drainRequested = false;
     bool hostLeaving = false;
     bool removed = false;
-    bool drainedTold = false;
+    bool drainedReported = false;
     std::optional<HostList> hostList;
 
     // Requests.
@@ -171,7 +171,7 @@
     std::uint32_t crashSequence = 0;
     std::optional<Instant> crashAt;
     std::set<RunId> crashRuns; ///< Running at the last crash, not broken yet.
-    std::set<RunId> held;      ///< Second tries whose copies elsewhere may still crash.
+    std::set<RunId> delayed;      ///< Second tries whose copies elsewhere may still crash.
 
     // Orders.
     FencingNumbers fencing;
@@ -183,7 +183,7 @@
     std::uint32_t orderFailures = 0;
     std::uint32_t reportsSincePause = 0;
     bool ordersStopped = false;
-    bool outForChange = false;
+    bool outForRollout = false;
     std::optional<Instant> quietSince;
 
     // Handing chats off on the way out.
@@ -218,7 +218,7 @@
     [[nodiscard]] auto checkPlace(const Submit &message) const -> std::optional<Rejection>;
     [[nodiscard]] auto servingHolder(ChatKey chat) const -> UpstreamId;
     [[nodiscard]] auto checkLoad(const Submit &message) const -> std::optional<Rejection>;
-    [[nodiscard]] auto mayWaitAtHome(const Submit &message,
+    [[nodiscard]] auto mayWaitForContext(const Submit &message,
                                      const settings::Customer *customer) const -> bool;
     [[nodiscard]] auto bound() const -> std::uint32_t;
     [[nodiscard]] auto runningBound() const -> std::uint32_t;
@@ -227,7 +227,7 @@
     [[nodiscard]] auto customerOf(const Terms &terms) const -> const settings::Customer *;
     [[nodiscard]] auto inFlightOf(const Terms &terms) const -> std::uint32_t;
     [[nodiscard]] auto customersAtLimit() const -> std::set<std::string>;
-    [[nodiscard]] auto attemptMemory(Instant notAfter = {}) const -> Instant;
+    [[nodiscard]] auto attemptExpiry(Instant notAfter = {}) const -> Instant;
     auto applyEntries(std::vector<DigestEntry> entries) -> void;
     [[nodiscard]] auto asWaiting(const Terms &terms, Instant notAfter) const -> Waiting;
     [[nodiscard]] auto attachKnown(LinkId link, const Submit &message) -> bool;
@@ -243,7 +243,7 @@
     [[nodiscard]] auto checkKeyOwner(const Submit &message) const -> std::optional<Rejection>;
     [[nodiscard]] auto keyLifetime(const Job &job) const -> Instant;
     auto replay(LinkId link, const Submit &message, const RunOnceEntry &entry) -> void;
-    auto closeKey(const Job &job, Run run) -> void;
+    auto finishKey(const Job &job, Run run) -> void;
 
     // sidecar-runs.cc
     auto dispatch() -> void;
@@ -255,15 +255,15 @@
     [[nodiscard]] auto findRunning(RunId run) -> Job *;
     auto fail(Job &job, Failure failure, std::string_view cause) -> void;
     auto cancel(Job &job, Failure failure, std::string_view cause) -> void;
-    auto leaveUpstream(Job &job) -> void;
-    auto watchJobs() -> void;
-    auto watchWaiting(Job &job) -> void;
+    auto releaseSlot(Job &job) -> void;
+    auto checkJobs() -> void;
+    auto checkWaiting(Job &job) -> void;
     auto reviewQueue() -> void;
     [[nodiscard]] auto canMeet(const Waiting &waiting, double ahead) const -> bool;
-    auto watchRunning(Job &job) -> void;
+    auto checkRunning(Job &job) -> void;
 
     // sidecar-answers.cc
-    auto read(Job &job, Reader reader) -> void;
+    auto addReader(Job &job, Reader reader) -> void;
     auto serve(Job &job) -> void;
     auto serveReader(Job &job, Reader &reader) -> bool;
     auto sendBytes(const StoredAnswer &answer, Reader &reader) -> void;
@@ -273,7 +273,7 @@
     auto revoke(LinkId link, const Revoke &message) -> void;
     [[nodiscard]] auto revokeJob(Job &job, LinkId link, const Revoke &message) -> Run;
     [[nodiscard]] auto revokeUnknown(const Revoke &message) -> Run;
-    auto answersGivenUp(const std::vector<RunId> &runs) -> void;
+    auto handleEvicted(const std::vector<RunId> &runs) -> void;
     auto forgetJob(RunId run) -> void;
     [[nodiscard]] auto findJob(const RequestId &request) -> Job *;
 
@@ -281,8 +281,8 @@
     auto on(const PeerLinkUp &event) -> void;
     auto on(const PeerLinkDown &event) -> void;
     auto on(const PeerResponded &event) -> void;
-    auto tellClock(LinkId link) -> void;
-    auto watchLinks() -> void;
+    auto sendClock(LinkId link) -> void;
+    auto checkLinks() -> void;
     auto dropReaders(LinkId link) -> void;
 
     // sidecar-plane.cc
@@ -291,30 +291,30 @@
     auto refreshOwn() -> void;
     auto exchangeDigest() -> void;
     [[nodiscard]] auto digestFor(const DigestReader &reader) const -> Digest;
-    auto tellAll() -> void;
-    auto tellSome() -> void;
+    auto broadcastCrashes() -> void;
+    auto advertiseToSome() -> void;
 
     // sidecar-crashes.cc
     auto on(const UpstreamReport &event) -> void;
     auto declareCrash(std::string_view cause) -> void;
-    auto lostOne(Job &job) -> void;
-    auto noteCrash(const Job &job) -> void;
-    auto settleLost(Duration brokenFor, bool crashed) -> void;
-    [[nodiscard]] auto failureOfLost(const Job &job, bool crashed) const -> Failure;
+    auto handleLostRun(Job &job) -> void;
+    auto recordCrash(const Job &job) -> void;
+    auto failLostRuns(Duration brokenFor, bool crashed) -> void;
+    [[nodiscard]] auto lostRunFailure(const Job &job, bool crashed) const -> Failure;
     [[nodiscard]] auto inPhase(JobPhase phase) const -> std::vector<RunId>;
-    auto stopAll() -> void;
-    auto watchLost() -> void;
-    [[nodiscard]] auto mayStartAt(const Job &job) const -> Instant;
-    auto watchHeld() -> void;
-    [[nodiscard]] auto secondTryAt(Fingerprint fingerprint) const -> std::optional<UpstreamId>;
+    auto cancelRunning() -> void;
+    auto checkLostRuns() -> void;
+    [[nodiscard]] auto earliestStart(const Job &job) const -> Instant;
+    auto releaseDelayed() -> void;
+    [[nodiscard]] auto secondTryUpstream(Fingerprint fingerprint) const -> std::optional<UpstreamId>;
 
     // sidecar-leaving.cc
     auto on(const HostListRead &event) -> void;
     auto on(const DrainRequested &event) -> void;
     auto on(const CacheEvents &event) -> void;
     auto on(const HandoffDone &event) -> void;
-    auto leavingChanged(bool before) -> void;
-    auto tellRouters() -> void;
+    auto handleLeavingChange(bool before) -> void;
+    auto notifyRouters() -> void;
     auto handOffNext() -> void;
     auto checkDrained() -> void;
 
@@ -323,7 +323,7 @@
     auto considerOrder() -> void;
     auto giveOrder(const PlannedChange &change) -> void;
     [[nodiscard]] auto hasTurn() -> bool;
-    [[nodiscard]] auto isGone(const settings::Member &member) const -> bool;
+    [[nodiscard]] auto isUnlisted(const settings::Member &member) const -> bool;
     [[nodiscard]] auto mayOrder() const -> bool;
     [[nodiscard]] auto holdsAnyModel() const -> bool;
 };
--- a/src/core/sidecar-submit.cc
+++ b/src/core/sidecar-submit.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Duration longestMemory = std::chrono::hours(24);
+constexpr Duration maxAttemptLifetime = std::chrono::hours(24);
 
 auto holds(const std::vector<std::string> &models, const std::string &model) -> bool
 {
@@ -57,7 +57,7 @@
                {refusalOf(ErrorKind::AnswerLost, Run::Unknown, "no such answer"), 0, "customer"});
         return true;
     }
-    const auto isOlder = [&](const auto &seen) { return seen.second < message.attempt; };
+    const auto isOlder = [&](const auto &known) { return known.second < message.attempt; };
     const auto isRetry = std::all_of(job->attempts.begin(), job->attempts.end(), isOlder);
     const auto mayRerun = !job->isRunOnce() || job->failure.run == Run::NotRun;
     if (job->phase == JobPhase::Failed && isRetry && mayRerun) {
@@ -76,11 +76,11 @@
     // It is told the failure of the attempt that it joins, so it must be as final.
     if (job.phase == JobPhase::Failed)
         endedAttempts.put(attemptHash(message.request, message.attempt), job.failure.run,
-                          attemptMemory(message.notAfter));
+                          attemptExpiry(message.notAfter));
     logJob("attach", message.request, message.terms, cause);
     Reader reader{link, message.request, message.attempt};
     reader.replayed = !job.isActive();
-    read(job, std::move(reader));
+    addReader(job, std::move(reader));
 }
 
 auto SidecarNode::State::checkAddress(const Submit &message) const -> std::optional<Rejection>
@@ -123,7 +123,7 @@
 
 auto SidecarNode::State::checkSecondTry(const Submit &message) const -> std::optional<Rejection>
 {
-    const auto second = secondTryAt(message.terms.fingerprint);
+    const auto second = secondTryUpstream(message.terms.fingerprint);
     if (!second || *second == self)
         return std::nullopt;
     return Rejection{refusalOf(ErrorKind::NoUpstream, Run::NotRun, "crashed an upstream"), *second,
@@ -167,12 +167,12 @@
     const auto holder = servingHolder(terms.chat);
     const auto *customer = customerOf(terms);
     const auto limit = customer == nullptr ? 0 : customer->inFlightLimit;
-    const auto staysHome = mayWaitAtHome(message, customer);
-    if (limit != 0 && inFlightOf(terms) >= limit && !staysHome)
+    const auto waitsForContext = mayWaitForContext(message, customer);
+    if (limit != 0 && inFlightOf(terms) >= limit && !waitsForContext)
         return Rejection{refusalOf(ErrorKind::CustomerLimit, Run::NotRun, "customer's limit here"),
                          holder, "customer-limit"};
     const auto isFull = load() + 1 > bound();
-    if (isFull && !message.mayWait && !staysHome)
+    if (isFull && !message.mayWait && !waitsForContext)
         return Rejection{refusalOf(ErrorKind::Overloaded, Run::NotRun, "at its bound"), holder,
                          "bound"};
     if (!isFull && running < slots && queue.size() == 0)
@@ -203,7 +203,7 @@
 
 // A chat that moves pays for its whole context again, and its turn still takes a place elsewhere.
 // It waits here as long as that is the lesser delay; what runs stays within the bound.
-auto SidecarNode::State::mayWaitAtHome(const Submit &message,
+auto SidecarNode::State::mayWaitForContext(const Submit &message,
                                        const settings::Customer *customer) const -> bool
 {
     const auto &terms = message.terms;
@@ -298,7 +298,7 @@
     auto &job = jobs[run];
     job.run = run;
     job.keyName = keyName;
-    job.names = {message.request};
+    job.requestIds = {message.request};
     job.attempts = {{message.request, message.attempt}};
     job.notAfter = message.notAfter;
     job.movedFrom = message.movedFrom;
@@ -307,15 +307,15 @@
     job.call = std::move(message.call);
     byRequest[message.request] = run;
     active.insert(run);
-    const auto isHeld = mayStartAt(job) > now;
-    const auto mustWait = isHeld || running >= slots || queue.size() != 0;
-    if (isHeld)
-        held.insert(run);
+    const auto isDelayed = earliestStart(job) > now;
+    const auto mustWait = isDelayed || running >= slots || queue.size() != 0;
+    if (isDelayed)
+        delayed.insert(run);
     else
         enqueue(job);
     logJob(mustWait ? "queue" : "admit", message.request, job.terms,
            job.movedFrom != 0 ? "moved-here" : "submit");
-    read(job, {link, message.request, message.attempt});
+    addReader(job, {link, message.request, message.attempt});
     dispatch();
 }
 
@@ -333,11 +333,11 @@
     // The caller may be told "not run" from here on, so a late duplicate must not run either.
     if (findJob(message.request) == nullptr)
         endedAttempts.put(attemptHash(message.request, message.attempt), rejection.failure.run,
-                          attemptMemory(message.notAfter));
+                          attemptExpiry(message.notAfter));
     countRefusal(rejection.failure.kind);
     if (rejection.redirect != 0) {
         ++counted.redirects;
-        redirected.put(stableHash(message.request), true, attemptMemory());
+        redirected.put(stableHash(message.request), true, attemptExpiry());
     }
     logJob(rejection.redirect != 0 ? "redirect" : "refuse", message.request, message.terms,
            rejection.cause);
@@ -365,9 +365,9 @@
 
 // How long an attempt is remembered: until no message about it can be on its way any more. New
 // settings may have shortened the longest deadline since it was sent.
-auto SidecarNode::State::attemptMemory(Instant notAfter) const -> Instant
+auto SidecarNode::State::attemptExpiry(Instant notAfter) const -> Instant
 {
-    const auto latest = std::min(notAfter, now + longestMemory);
+    const auto latest = std::min(notAfter, now + maxAttemptLifetime);
     return std::max(now + 2 * pool.maxDeadline, latest + pool.maxDeadline);
 }
 
