--- a/include/applehatch/core/sidecar-node.h
+++ b/include/applehatch/core/sidecar-node.h
@@ -204,9 +204,9 @@
     Duration answerLifetime =
         std::chrono::seconds(60); ///< From the end of an unacknowledged answer.
     Duration digestPeriod = std::chrono::seconds(1);
-    std::size_t digestBytes = 1000;                  ///< Maximum size of a digest datagram.
-    std::size_t unsolicitedEntries = 10;                    ///< Entries of an unsolicited digest.
-    std::size_t replyBytesPerSecond = 1500;          ///< Budget for digests sent in reply.
+    std::size_t digestBytes = 1000;                    ///< Maximum size of a digest datagram.
+    std::size_t unsolicitedEntries = 10;               ///< Entries of an unsolicited digest.
+    std::size_t replyBytesPerSecond = 1500;            ///< Budget for digests sent in reply.
     Duration clockInterval = std::chrono::seconds(60); ///< Between heartbeats on a link in use.
     Duration silence = std::chrono::seconds(4); ///< Without a sign of its router, a link is closed.
     Duration unreadTimeout =
--- a/include/applehatch/core/token.h
+++ b/include/applehatch/core/token.h
@@ -25,7 +25,7 @@
     Instant expires;         ///< On the sidecar's clock.
 };
 
-[[nodiscard]] auto formatContext(const UpstreamLife &life) -> std::string;
+[[nodiscard]] auto formatContext(const UpstreamLife &context) -> std::string;
 [[nodiscard]] auto parseContext(std::string_view text) -> std::optional<UpstreamLife>;
 [[nodiscard]] auto formatPosition(const Position &position) -> std::string;
 [[nodiscard]] auto parsePosition(std::string_view text) -> std::optional<Position>;
--- a/src/core/settings-replica.cc
+++ b/src/core/settings-replica.cc
@@ -71,7 +71,7 @@
     bool peerAnswered = false;       ///< A peer that has settings in force answered.
     bool serviceRead = false;        ///< The service answered at least once.
     std::optional<Instant> startsAt; ///< When the texts are put in force without waiting for peers.
-    std::set<SettingsIndex> missingIndices; ///< Advertised indices beyond that of `table`.
+    std::set<SettingsIndex> missingIndices;     ///< Advertised indices beyond that of `table`.
     std::set<SettingsIndex> unavailableIndices; ///< Advertised indices that were not found.
     Instant unavailableUntil;
     UpstreamId likelyHolder = 0; ///< The peer reported to have a missing index.
@@ -168,7 +168,8 @@
 
     auto take(const SettingsIndexHeard &event, Instant now) -> void
     {
-        const auto isUnavailable = unavailableIndices.count(event.index) != 0 && now < unavailableUntil;
+        const auto isUnavailable =
+            unavailableIndices.count(event.index) != 0 && now < unavailableUntil;
         if (event.index <= table.index() || isUnavailable) {
             return;
         }
--- a/src/core/sidecar-answers.cc
+++ b/src/core/sidecar-answers.cc
@@ -7,7 +7,8 @@
 
 namespace {
 
-// A job may be known by several requests; a refusal must not name another one's attempt.
+// Returns the last attempt of `request`. A job may have several requests, and a refusal must not
+// name the attempt of another one.
 auto lastAttempt(const Job &job, const RequestId &request) -> std::uint32_t
 {
     std::uint32_t last = 0;
@@ -41,7 +42,7 @@
     std::erase_if(job.readers, [&](Reader &reader) { return serveReader(job, reader); });
 }
 
-// True when the reader has been told the end.
+// Returns true once the reader was sent the end of the answer or a refusal.
 auto SidecarNode::State::serveReader(Job &job, Reader &reader) -> bool
 {
     if (job.phase == JobPhase::Failed) {
@@ -56,8 +57,9 @@
     if (reader.next < answer->base()) {
         send(reader.link,
              Refusal{reader.request, reader.attempt,
-                     refusalOf(ErrorKind::AnswerLost, Run::Ran, "its beginning is gone"), 0,
-                     freshestFrom(self, loads, carriedEntries, now)});
+                     refusalOf(ErrorKind::AnswerLost, Run::Ran,
+                               "the beginning of the answer was discarded"),
+                     0, freshestFrom(self, loads, carriedEntries, now)});
         return true;
     }
     if (!reader.headSent)
@@ -103,14 +105,16 @@
         continueStream(link, message);
         return;
     }
-    // The same words whether it is another customer's or nobody's, so that nothing is learnt.
+    // The message is the same for an answer of another customer and for none, so that it does not
+    // reveal which answers exist.
     send(link,
          Refusal{message.request, 0,
                  refusalOf(ErrorKind::AnswerLost, Run::Unknown, "no such answer"), 0,
                  freshestFrom(self, loads, carriedEntries, now)});
 }
 
-// The engine may still hold the stream of a request that an earlier life of this sidecar started.
+// The engine may still have the stream of a request that an earlier incarnation of this sidecar
+// started.
 auto SidecarNode::State::continueStream(LinkId link, const Resume &message) -> void
 {
     const auto run = ++lastRun;
@@ -147,10 +151,11 @@
 auto SidecarNode::State::revoke(LinkId link, const Revoke &message) -> void
 {
     auto *job = findJob(message.request);
-    const auto isOfJob = job != nullptr
+    const auto isOfJob =
+        job != nullptr
         && std::any_of(job->attempts.begin(), job->attempts.end(), [&](const auto &known) {
-                             return known.first == message.request && known.second == message.attempt;
-                         });
+               return known.first == message.request && known.second == message.attempt;
+           });
     const auto run = isOfJob ? revokeJob(*job, link, message) : revokeUnknown(message);
     endedAttempts.put(attemptHash(message.request, message.attempt), run, attemptExpiry());
     log(LogLine("revoke").add("request", message.request).add("run", runName(run)));
@@ -158,8 +163,9 @@
     dispatch();
 }
 
-// A router gives up a stream 10 s after its caller left. The caller may have come back through
-// another router, under the same name, and would lose the rest of its answer with the first one's.
+// A router revokes a stream 10 s after its caller disconnected. The caller may have resumed it with
+// the same request id through another router; removing that reader too would lose the rest of the
+// answer.
 auto SidecarNode::State::revokeJob(Job &job, LinkId link, const Revoke &message) -> Run
 {
     std::erase_if(job.readers, [&](const Reader &reader) {
@@ -171,15 +177,15 @@
         return Run::Ran;
     if (job.phase == JobPhase::Failed)
         return job.failure.run;
-    // Another router or another request with the same key still waits for it.
+    // Another router or another request with the same key still reads the answer.
     if (!job.readers.empty())
         return Run::Unknown;
     if (job.phase == JobPhase::Waiting) {
         fail(job, refusalOf(ErrorKind::Revoked, Run::NotRun, "revoked"), "revoked");
         return Run::NotRun;
     }
-    // A run-once call cut off half way would leave its caller without an outcome for ever; it is
-    // let finish and recorded, so that the next send of its key is answered.
+    // The outcome of a cancelled run-once request would remain unknown forever. It is left to
+    // finish and is recorded, so that the next request with its key is answered.
     if (job.phase == JobPhase::Running && !job.isRunOnce())
         cancel(job, refusalOf(ErrorKind::Revoked, Run::Unknown, "revoked"), "revoked");
     job.unreadSince = stallAwareNow;
@@ -192,7 +198,8 @@
         return *ended;
     if (startedBefore.find(stableHash(message.request), now) != nullptr)
         return Run::Ran;
-    // What ran may be forgotten here, or have run in an earlier life.
+    // The record of the attempt may have been evicted, or it may have run in an earlier
+    // incarnation.
     const auto mayBeForgotten =
         startedBefore.forgottenUntil() > now || endedAttempts.forgottenUntil() > now;
     const auto isOurs = message.target == identity.incarnation;
@@ -200,7 +207,7 @@
     return !mayBeForgotten && (isOurs || isOldEnough) ? Run::NotRun : Run::Unknown;
 }
 
-// The store gave these answers up: finished ones are forgotten, running ones are stopped.
+// The answer store evicted the answers of `runs`: finished jobs are removed, active ones fail.
 auto SidecarNode::State::handleEvicted(const std::vector<RunId> &runs) -> void
 {
     for (const auto run : runs) {
@@ -208,7 +215,8 @@
         if (found == jobs.end())
             continue;
         auto &job = found->second;
-        const auto failure = refusalOf(ErrorKind::AnswerLost, Run::Ran, "more than is kept");
+        const auto failure =
+            refusalOf(ErrorKind::AnswerLost, Run::Ran, "evicted to stay within the byte limits");
         if (job.phase == JobPhase::Running)
             cancel(job, failure, "answer-bytes");
         else if (job.phase == JobPhase::Lost)
--- a/src/core/sidecar-crashes.cc
+++ b/src/core/sidecar-crashes.cc
@@ -7,20 +7,20 @@
 
 namespace {
 
-// The second try begins no sooner after the crash: copies that ran elsewhere at that instant crash
+// Delay from a crash to the second try. Copies that run elsewhere at the time of the crash crash
 // first, and their notices arrive.
 constexpr Duration secondTryDelay = std::chrono::milliseconds(500);
 
-// A pool of two loses no third upstream.
+// In a pool of two no third upstream can be lost, so second tries are not delayed.
 constexpr std::size_t maxPoolWithoutDelay = 2;
 
-// A report of the same epoch counts only when it cannot have been on its way before the break.
+// A report of the same epoch counts only if it cannot have been in transit before the break.
 constexpr Duration reportDelay = std::chrono::milliseconds(300);
 
-// Reports come every second; without one for longer the break counts as a mere failure.
+// Reports arrive every second. Without one for longer, the break counts as a failure, not a crash.
 constexpr Duration lostRunTimeout = std::chrono::milliseconds(1500);
 
-// Breaks this long after a crash was seen belong to it.
+// Breaks within this time after a crash was detected belong to that crash.
 constexpr Duration crashWindow = std::chrono::seconds(2);
 
 constexpr std::size_t minLostRunsOfCrash = 2;
@@ -66,8 +66,8 @@
     return found;
 }
 
-// One broken run may be a mere failure of the upstream; it is decided by the next report. Its
-// router is told only then: told at once, it could run a crashing request at a third upstream
+// One broken run may be a failure without a crash; the next report decides. The router is notified
+// only then: if it were notified immediately, it could run a crashing request at a third upstream
 // before the notices of the first two have spread.
 auto SidecarNode::State::handleLostRun(Job &job) -> void
 {
@@ -113,7 +113,7 @@
         now);
 }
 
-// The upstream process is another one: nothing that ran in the old one will ever answer.
+// The upstream process restarted: runs of the old process will never be answered.
 auto SidecarNode::State::cancelRunning() -> void
 {
     const auto stopped = inPhase(JobPhase::Running);
@@ -141,7 +141,8 @@
     if (job.continued)
         return refusalOf(ErrorKind::AnswerLost, Run::Unknown, "no such answer");
     if (job.isRunOnce())
-        return refusalOf(ErrorKind::OutcomeUnknown, Run::Unknown, "broke off; it may have run");
+        return refusalOf(ErrorKind::OutcomeUnknown, Run::Unknown,
+                         "the connection broke; the request may have run");
     if (crashed && crashes.isSuspect(job.terms.fingerprint, now))
         return refusalOf(ErrorKind::CrashSuspect, Run::Ran, "crashed two upstreams");
     if (crashed)
@@ -149,9 +150,10 @@
     return refusalOf(ErrorKind::UpstreamFailed, Run::Ran, "the upstream broke off");
 }
 
-// After one crash the request has one more try, at an upstream that it names itself. Were any
-// other to take it, repeats that are under way at the same time would each cost an upstream.
-auto SidecarNode::State::secondTryUpstream(Fingerprint fingerprint) const -> std::optional<UpstreamId>
+// After one crash a request gets one more try, at the one upstream that its fingerprint determines.
+// If any other upstream accepted it, concurrent repeats would each crash an upstream.
+auto SidecarNode::State::secondTryUpstream(Fingerprint fingerprint) const
+    -> std::optional<UpstreamId>
 {
     const auto crashedAt = crashes.upstreams(fingerprint, now);
     if (crashedAt.empty())
@@ -165,8 +167,8 @@
     return rendezvousOwner(fingerprint, candidates);
 }
 
-// Copies that run at several upstreams at one instant would crash each of those and, were the
-// second try to begin at once, its own as well.
+// Copies that run at several upstreams at the same time crash each of them. A second try that
+// started immediately would crash its own upstream as well.
 auto SidecarNode::State::earliestStart(const Job &job) const -> Instant
 {
     const auto crashedAt = crashes.lastAt(job.terms.fingerprint, now);
--- a/src/core/sidecar-keys.cc
+++ b/src/core/sidecar-keys.cc
@@ -8,12 +8,12 @@
 
 namespace {
 
-// A ticket is remembered until it expires, so its lifetime must be bounded too.
+// A ticket is stored until it expires, so its lifetime must be limited.
 constexpr Duration maxTicketLifetime = std::chrono::hours(1);
 
 } // namespace
 
-// A key that is known here is answered from the table, whatever else would be checked.
+// A known key is answered from the table, before any other check.
 auto SidecarNode::State::submitKey(LinkId link, const Submit &message) -> bool
 {
     if (message.terms.idempotencyKey.empty())
@@ -23,8 +23,8 @@
         return false;
     if (entry->fingerprint != message.terms.fingerprint) {
         reject(link, message,
-               {refusalOf(ErrorKind::KeyReused, Run::NotRun, "key of another request"), 0,
-                "key-reused"});
+               {refusalOf(ErrorKind::KeyReused, Run::NotRun, "key was used with another request"),
+                0, "key-reused"});
         return true;
     }
     if (entry->state == RunOnceEntry::State::Unknown) {
@@ -56,11 +56,11 @@
         return std::nullopt;
     if (const auto expires = ticketKeyExpiry(terms.idempotencyKey)) {
         if (message.target == 0 || *expires > now + maxTicketLifetime)
-            return Rejection{refusalOf(ErrorKind::BadRequest, Run::NotRun, "not a ticket of ours"),
-                             0, "ticket"};
+            return Rejection{refusalOf(ErrorKind::BadRequest, Run::NotRun, "invalid ticket"), 0,
+                             "ticket"};
         if (*expires > now)
             return std::nullopt;
-        // Its entry may have been dropped when it expired.
+        // The entry of the ticket may have been dropped when it expired.
         const auto run = terms.firstSend ? Run::NotRun : Run::Unknown;
         return Rejection{refusalOf(ErrorKind::TicketExpired, run, "ticket has expired"), 0,
                          "ticket-expired"};
@@ -68,12 +68,13 @@
     const auto hash = runOnceHash(terms);
     const auto owner = rendezvousOwner(hash, pool.members);
     if (owner != self)
-        return Rejection{refusalOf(ErrorKind::NoUpstream, Run::NotRun, "key of another upstream"),
-                         owner, "key-owner"};
+        return Rejection{
+            refusalOf(ErrorKind::NoUpstream, Run::NotRun, "key is owned by another upstream"),
+            owner, "key-owner"};
     if (terms.firstSend)
         return std::nullopt;
-    // Within the window the key may have run at an earlier owner or in an earlier life, which
-    // nobody here can ask.
+    // Within the window the key may have run at an earlier owner or in an earlier incarnation,
+    // which cannot be queried.
     auto openAt = initializedAt + pool.resendWindow;
     for (const auto &past : pastMembers) {
         if (rendezvousOwner(hash, past.members) != self)
@@ -97,7 +98,7 @@
 {
     if (!entry.answer) {
         reject(link, message,
-               {refusalOf(ErrorKind::AnswerLost, Run::Ran, "its recorded answer is gone"), 0,
+               {refusalOf(ErrorKind::AnswerLost, Run::Ran, "the recorded answer was discarded"), 0,
                 "record-gone"});
         return;
     }
@@ -132,7 +133,8 @@
         return;
     }
     const auto *answer = answers.find(job.run);
-    const auto isComplete = job.phase == JobPhase::Complete && answer != nullptr && answer->base() == 0;
+    const auto isComplete =
+        job.phase == JobPhase::Complete && answer != nullptr && answer->base() == 0;
     if (!isComplete) {
         keys.markUnknown(job.keyName, keyLifetime(job));
         return;
--- a/src/core/sidecar-leaving.cc
+++ b/src/core/sidecar-leaving.cc
@@ -10,14 +10,14 @@
 constexpr std::size_t maxHandoffs = 256;
 constexpr std::uint32_t maxConcurrentHandoffs = 4;
 
-// After this long the process no longer waits for contexts to be copied.
+// The process stops waiting for contexts to be copied after this time.
 constexpr Duration handoffTimeout = std::chrono::seconds(20);
 
 } // namespace
 
 auto SidecarNode::State::on(const HostListRead &event) -> void
 {
-    // An empty list is unknown, never "no hosts".
+    // An empty list means that the hosts are unknown, never that there are none.
     if (event.list.hosts.empty())
         return;
     const auto before = isLeaving();
@@ -99,8 +99,9 @@
     checkDrained();
 }
 
-// Routers hold back word of answers that were taken until they know that this sidecar leaves. By
-// digests alone some would learn it late, and the stop would wait for their word.
+// Routers delay acknowledgements of answers until they know that this sidecar is leaving. With
+// digests alone some routers would learn it late, and the drain would wait for their
+// acknowledgements.
 auto SidecarNode::State::notifyRouters() -> void
 {
     if (!isLeaving())
@@ -117,7 +118,8 @@
     const auto handsOff = !handoffs.empty() || handoffsOutstanding != 0;
     if (handsOff && leavingSince && now - *leavingSince < handoffTimeout)
         return;
-    // An answer that no router has whole yet must outlive its link; its lifetime bounds the wait.
+    // An answer that no router has received completely must outlive its link. The lifetime of the
+    // answer limits the wait.
     const auto isAwaited = [](const auto &item) {
         return item.second.phase == JobPhase::Complete && !item.second.replayed;
     };
--- a/src/core/sidecar-links.cc
+++ b/src/core/sidecar-links.cc
@@ -29,10 +29,11 @@
     send(link, Heartbeat{identity.incarnation, now});
 }
 
-// A link can go silent for good while new ones work, because something between the two ends lost
-// track of it. Its router then waits for bytes that never come. Neither end sees an error; only
-// that nothing is taken any more shows it, and closing lets the router resume on a new link. A
-// router that hears nothing itself asks each second, so a live one is never without a sign.
+// A connection can become silent permanently while new ones work, because something between the
+// ends lost its state. The router then waits for bytes that never arrive. Neither end gets an
+// error; the only sign is that the peer no longer receives anything. Closing the link lets the
+// router resume on a new one. A router that receives nothing sends a heartbeat each second, so a
+// live router always shows a sign.
 auto SidecarNode::State::checkLinks() -> void
 {
     std::set<LinkId> outstanding;
--- a/src/core/sidecar-node.cc
+++ b/src/core/sidecar-node.cc
@@ -9,10 +9,11 @@
 
 namespace {
 
-// Without an event for this long the process slept: the host ticks every 50 ms.
+// Without an event for this long the process was suspended: the host ticks every 50 ms.
 constexpr Duration suspensionThreshold = std::chrono::seconds(3);
 constexpr Duration expiryInterval = std::chrono::seconds(1);
-// Entries of one table visited in one period; its largest is gone through in about 20 s.
+// Hash buckets of one table visited per interval; a full pass over the largest table takes about
+// 20 s.
 constexpr std::size_t maxBucketsPerExpiry = 5000;
 
 } // namespace
@@ -39,22 +40,23 @@
         initialized = true;
         initializedAt = to;
     } else if (to - now > suspensionThreshold) {
-        // It woke from a sleep. What it knew of the others' load is old, and admitting by an old
-        // mean could bury the upstream.
+        // The process was suspended, so its view of other upstreams' load is outdated. Admission by
+        // an outdated mean could overload the upstream.
         loads = LoadTable();
         sums = PoolSums();
         ownMadeAt.reset();
         reportsSincePause = 0;
         log(LogLine("woke").add("slept_us", Duration(to - now).count()));
     }
-    // Two of the host's threads may read the clock in one order and get here in the other.
+    // Two threads of the host may read the clock in one order and call this in the other.
     now = std::max(now, to);
     stallAwareNow = stallAwareClock.at(now);
 }
 
 auto SidecarNode::State::on(FromPeer &event) -> void
 {
-    // A message that crossed the closing of its link: its router takes it as lost, so it must be.
+    // The message crossed the closing of its link. Its router treats it as lost, so it must be
+    // ignored.
     const auto link = links.find(event.link);
     if (link == links.end())
         return;
--- a/src/core/sidecar-orders.cc
+++ b/src/core/sidecar-orders.cc
@@ -7,13 +7,13 @@
 
 namespace {
 
-// A report lags by up to a second; one that shows the order's effect comes after this.
+// Reports lag by up to a second; a report after this delay shows the effect of the order.
 constexpr Duration reportLag = std::chrono::milliseconds(1500);
 constexpr Duration orderTimeout = std::chrono::minutes(5);
 constexpr Duration firstBackoff = std::chrono::seconds(1);
 constexpr std::uint32_t maxDoublings = 6;
 
-// The first report after a pause may have been read before it.
+// The first report after a pause may have been read before the pause.
 constexpr std::uint32_t minReportsAfterPause = 2;
 
 } // namespace
@@ -32,8 +32,8 @@
         reportWantedAfter = now + reportLag;
         return;
     }
-    // The weight store limits its rate; all engines of a rollout asking again at once would keep
-    // each other out, so the wait doubles and is spread.
+    // The weight store limits its rate. If all engines of a rollout retried at the same time, they
+    // would block each other, so the backoff is exponential with jitter.
     const auto wait = firstBackoff * (1U << std::min(orderFailures, maxDoublings));
     orderNotBefore = now + wait + Duration(static_cast<Duration::rep>(random() % wait.count()));
     ++orderFailures;
@@ -43,7 +43,7 @@
 {
     if (pool.kind != settings::PoolKind::Model || !report || !report->reachable || isLeaving())
         return false;
-    // An engine that ignores fencing numbers obeys a sidecar that slept as well as any other.
+    // An engine that ignores fencing numbers would also obey a sidecar that was suspended.
     const auto hasReread =
         pool.fencing == settings::Fencing::Honored || reportsSincePause >= minReportsAfterPause;
     return hasReread && now >= orderNotBefore && reportAt >= reportWantedAfter;
@@ -67,7 +67,7 @@
         outForRollout = true;
         advertiseToSome();
     }
-    // Unloading a model under a running request would cut its answer off.
+    // Unloading a model while a request runs would truncate its answer.
     const auto isIdle = running == 0 && queue.size() == 0;
     if (change->change == ModelChange::Load || isIdle)
         giveOrder(*change);
@@ -98,8 +98,8 @@
     return mayBeginRollout(rollout);
 }
 
-// A host that the platform no longer lists. Counted as out, it would hold every rollout of its pool
-// until somebody takes the member out of the settings.
+// Returns true if the platform no longer lists the member's host. If such a member counted as out,
+// it would block every rollout of its pool until it is removed from the settings.
 auto SidecarNode::State::isUnlisted(const settings::Member &member) const -> bool
 {
     const auto isIts = [&](const Host &host) { return host.ip == member.sidecar.ip; };
--- a/src/core/sidecar-plane.cc
+++ b/src/core/sidecar-plane.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Members told at once that this upstream is leaving; the others hear it from them.
+// Members to which a state change is sent immediately; the others get it by gossip.
 constexpr std::size_t maxAdvertisedPeers = 3;
 
 auto sameMembers(const std::vector<settings::Member> &a, const std::vector<settings::Member> &b)
@@ -20,8 +20,8 @@
 
 } // namespace
 
-// Nobody knows this upstream's load better than this node. An entry about it from elsewhere is
-// older, or of a later life that has taken over; neither may count as its own load.
+// This node is the authority on its upstream's load. An entry about it from a peer is older, or
+// belongs to a later incarnation that took over; neither may count as this node's load.
 auto SidecarNode::State::applyEntries(std::vector<DigestEntry> entries) -> void
 {
     std::erase_if(entries, [this](const DigestEntry &entry) { return entry.upstream == self; });
@@ -106,7 +106,8 @@
         return;
     digestAt = now;
     const auto &peer = *others[random() % others.size()];
-    auto digest = digestFor({peer.dataCenter == identity.dataCenter, limits.unsolicitedEntries, {}});
+    auto digest =
+        digestFor({peer.dataCenter == identity.dataCenter, limits.unsolicitedEntries, {}});
     digest.wantsReply = true;
     out.emplace_back(SendDigest{peer.id, std::move(digest)});
 }
--- a/src/core/sidecar-runs.cc
+++ b/src/core/sidecar-runs.cc
@@ -9,13 +9,15 @@
 
 constexpr std::uint32_t maxReconnects = 2;
 constexpr Duration reviewInterval = std::chrono::milliseconds(200);
-constexpr std::size_t maxReviewedRequests = 256; ///< A review takes the square of the queue's length.
+constexpr std::size_t maxReviewedRequests =
+    256; ///< The time of a review is quadratic in the queue's length.
 
 } // namespace
 
 auto SidecarNode::State::dispatch() -> void
 {
-    // While it is open whether the upstream crashed, the queue waits rather than be lost with it.
+    // While it is not known whether the upstream crashed, the queue waits; otherwise its requests
+    // could be lost in the crash too.
     const auto mayStart = report && report->reachable && inPhase(JobPhase::Lost).empty();
     while (mayStart && queue.size() != 0 && running < slots && running < runningBound()) {
         const auto next = queue.pop(customersAtLimit());
@@ -130,7 +132,8 @@
     if (event.how == RunBreak::NeverSent) {
         for (const auto &name : job->requestIds)
             startedBefore.erase(stableHash(name));
-        fail(*job, refusalOf(ErrorKind::UpstreamFailed, Run::NotRun, "upstream takes no calls"),
+        fail(*job,
+             refusalOf(ErrorKind::UpstreamFailed, Run::NotRun, "cannot connect to the upstream"),
              "never-sent");
     } else if (event.how == RunBreak::Silent && mayReconnect(*job)) {
         reconnect(*job);
@@ -143,12 +146,12 @@
     dispatch();
 }
 
-// A connection can go silent for good while new ones work. The engine still holds the stream then,
-// and running the request again would cost it twice.
+// A connection can become silent permanently while new ones work. The engine then still has the
+// stream, and running the request again would cost twice as much.
 auto SidecarNode::State::mayReconnect(const Job &job) const -> bool
 {
-    const auto isResumable = pool.kind == settings::PoolKind::Model && job.call.stream && job.headKnown
-        && !job.isRunOnce() && answers.find(job.run) != nullptr;
+    const auto isResumable = pool.kind == settings::PoolKind::Model && job.call.stream
+        && job.headKnown && !job.isRunOnce() && answers.find(job.run) != nullptr;
     return isResumable && job.reconnects < maxReconnects && job.notAfter > now;
 }
 
@@ -173,8 +176,8 @@
 {
     queue.erase(job.run);
     job.phase = JobPhase::Failed;
-    // An earlier life ran it, whatever became of it here; told otherwise, its caller would run it
-    // a second time.
+    // An earlier incarnation ran the request, whatever happened here. If `NotRun` were reported,
+    // the caller would run it a second time.
     if (job.continued && failure.run == Run::NotRun)
         failure.run = Run::Unknown;
     job.failure = std::move(failure);
@@ -186,7 +189,8 @@
                           attemptExpiry(job.notAfter));
     logJob("fail", job.requestIds.front(), job.terms, cause);
     serve(job);
-    // An empty finished answer keeps the job for its lifetime, so that a resume hears of it.
+    // An empty finished answer keeps the job for the lifetime of an answer, so that a resume gets
+    // the failure.
     answers.drop(job.run);
     answers.begin(job.run);
     answers.finish(job.run, now);
@@ -217,8 +221,9 @@
     }
 }
 
-// A request that could be met on arrival may be overtaken since. Its caller would wait almost to
-// the deadline for a refusal that was certain long before, so the queue is looked through again.
+// A request that could meet its deadline on arrival may have been overtaken since. Its caller would
+// wait almost until the deadline for a refusal that was certain long before, so the queue is
+// reviewed periodically.
 auto SidecarNode::State::reviewQueue() -> void
 {
     if (now - reviewedAt < reviewInterval || queue.size() > maxReviewedRequests)
@@ -226,10 +231,12 @@
     reviewedAt = now;
     for (const auto &waiting : queue.all()) {
         auto &job = jobs.at(waiting.id);
-        // What runs now may end at any moment, so the first turn is not counted. A stream that is
-        // to be continued ran already, so it must not be called "not run" here.
+        // A running request may end at any moment, so one request ahead is not counted. A stream to
+        // be continued has run already, so it must not be reported as "not run" here.
         if (!job.continued && !canMeet(waiting, queue.ahead(waiting) - 1))
-            fail(job, refusalOf(ErrorKind::DeadlineUnmeetable, Run::NotRun, "others go first"),
+            fail(job,
+                 refusalOf(ErrorKind::DeadlineUnmeetable, Run::NotRun,
+                           "overtaken by other requests"),
                  "overtaken");
     }
 }
@@ -238,7 +245,8 @@
 {
     const auto mean = serviceTime.mean();
     const auto refuses = pool.queueOrder == settings::QueueOrder::DeadlineWithRefusal;
-    const auto isUnread = job.unreadSince && stallAwareNow - *job.unreadSince >= limits.unreadTimeout;
+    const auto isUnread =
+        job.unreadSince && stallAwareNow - *job.unreadSince >= limits.unreadTimeout;
     if (job.notAfter <= now)
         fail(job, refusalOf(ErrorKind::DeadlineExceeded, Run::NotRun, "waited too long"),
              "deadline");
@@ -255,7 +263,8 @@
 
 auto SidecarNode::State::checkRunning(Job &job) -> void
 {
-    const auto isUnread = job.unreadSince && stallAwareNow - *job.unreadSince >= limits.unreadTimeout;
+    const auto isUnread =
+        job.unreadSince && stallAwareNow - *job.unreadSince >= limits.unreadTimeout;
     if (job.notAfter <= now)
         cancel(job, refusalOf(ErrorKind::DeadlineExceeded, Run::Ran, "deadline passed"),
                "deadline");
--- a/src/core/sidecar-state.h
+++ b/src/core/sidecar-state.h
@@ -1,4 +1,4 @@
-// The sidecar node's tables and the steps that share them; one source file for each subject.
+// State of the sidecar node, and the functions on it by source file.
 #pragma once
 
 #include "applehatch/core/admission.h"
@@ -25,13 +25,13 @@
 
 namespace applehatch::core {
 
-/// Longest run of bytes in one `Chunk`.
+/// Maximum number of bytes in one `Chunk`.
 inline constexpr std::size_t chunkBytes = 256U << 10U;
 
-/// Entries that an `End` or `Refusal` carries.
+/// Number of load entries in an `End` or `Refusal`.
 inline constexpr std::size_t carriedEntries = 6;
 
-/// A router's link that is served with an answer under its own name for the request.
+/// A router's link that receives an answer, and the request id by which the router knows it.
 struct Reader
 {
     LinkId link = 0;
@@ -39,19 +39,19 @@
     std::uint32_t attempt = 0;
     std::uint64_t next = 0; ///< Offset of the next byte to send.
     bool headSent = false;
-    bool replayed = false; ///< It came after the answer was whole.
-    bool resumed = false;  ///< It asked for the rest, perhaps through another router.
+    bool replayed = false; ///< The reader joined after the answer was complete.
+    bool resumed = false;  ///< The reader resumed the answer, possibly through another router.
 };
 
 enum class JobPhase {
     Waiting,
     Running,
-    Lost,  ///< Its connection broke; whether the upstream crashed is not known yet.
-    Complete, ///< The upstream ended its answer.
+    Lost,     ///< The connection broke; it is not known yet whether the upstream crashed.
+    Complete, ///< The upstream completed its answer.
     Failed,
 };
 
-/// One request accepted here, from admission until its answer is given up.
+/// A request accepted by this sidecar, from admission until its answer is discarded.
 struct Job
 {
     RunId run = 0;
@@ -60,18 +60,20 @@
     Call call;
     Instant notAfter;
     UpstreamId movedFrom = 0;
-    std::vector<RequestId> requestIds; ///< Several when other requests carry the same key.
+    std::vector<RequestId> requestIds; ///< Several if other requests have the same idempotency key.
     std::vector<std::pair<RequestId, std::uint32_t>> attempts;
     std::vector<Reader> readers;
     Instant acceptedAt;
     Instant startedAt;
     Instant brokenAt;
-    std::optional<Instant> unreadSince; ///< Since when no link reads it; listening clock.
+    std::optional<Instant>
+        unreadSince; ///< Since when no link reads the answer, on the stall-aware clock.
     RunBreak breakKind = RunBreak::Lost;
-    std::string keyName;    ///< Its name in the run-once table; empty without a key.
-    bool continued = false; ///< Goes on with a stream of an earlier life.
+    std::string keyName;    ///< Name in the run-once table; empty without a key.
+    bool continued = false; ///< Continues a stream of an earlier incarnation.
     std::uint64_t continuedFrom = 0;
-    std::uint32_t reconnects = 0; ///< After silent connections, each from where it stopped.
+    std::uint32_t reconnects =
+        0; ///< Reconnects after silent connections, each at the offset reached.
     bool headKnown = false;
     bool replayed = false;
     int status = 200;
@@ -87,21 +89,21 @@
     [[nodiscard]] auto isRunOnce() const -> bool { return terms.runOnce || isKeyed(); }
 };
 
-/// Why a submit is not accepted.
+/// The reason for which a submit is rejected.
 struct Rejection
 {
     Failure failure;
     UpstreamId redirect = 0;
-    std::string cause; ///< For the log line.
+    std::string cause; ///< `cause` in the log line.
 };
 
 struct PeerLink
 {
-    Instant lastSignAt; ///< Last message, or word that its process took ours; listening clock.
+    Instant lastSignAt; ///< Last message or `PeerResponded`, on the stall-aware clock.
     Instant clockSentAt;
 };
 
-/// The member list of a moment in the past.
+/// A former list of the pool's members, which matters until `until`.
 struct PastMembers
 {
     std::vector<settings::Member> members;
@@ -118,21 +120,21 @@
     Random random;
     Instant now;
     ListeningClock stallAwareClock;
-    Instant stallAwareNow; ///< `now` on the listening clock.
+    Instant stallAwareNow; ///< `now` on the stall-aware clock.
     bool initialized = false;
     Instant initializedAt;
     std::vector<SidecarAction> out;
 
-    // Settings, and what follows from them.
+    // Settings and values derived from them.
     SettingsPtr settings;
-    Pool pool; ///< As last known: kept when the settings drop the pool.
+    Pool pool; ///< The last known pool, kept if the settings remove it.
     SettingsIndex teamIndex = 0;
     std::uint32_t slots = 1;
     std::deque<PastMembers> pastMembers;
 
-    // The upstream as its reports tell.
+    // The upstream as reported by the host.
     std::optional<UpstreamReport> report;
-    std::string epoch; ///< The last one reported; kept while unreachable.
+    std::string epoch; ///< The last reported epoch, kept while the upstream is unreachable.
     bool drainRequested = false;
     bool hostLeaving = false;
     bool removed = false;
@@ -148,14 +150,15 @@
     RunId lastRun = 0;
     AnswerStore answers;
     RunOnceTable keys;
-    ExpiringMap<Run> endedAttempts;  ///< Revoked or refused, by (request, attempt).
-    ExpiringMap<bool> startedBefore; ///< By request.
-    ExpiringMap<bool> redirected;    ///< By request.
+    ExpiringMap<Run>
+        endedAttempts; ///< Outcomes of revoked or refused attempts, by request and attempt.
+    ExpiringMap<bool> startedBefore; ///< Requests that were started.
+    ExpiringMap<bool> redirected;    ///< Requests that were redirected.
     ServiceTime serviceTime;
     ArrivalRates arrivals;
-    Instant reviewedAt; ///< When the queue was last looked through for hopeless requests.
+    Instant reviewedAt; ///< Last review of the queue for requests that cannot meet their deadline.
 
-    // Peers and the load plane.
+    // Peers and load gossip.
     std::map<LinkId, PeerLink> links;
     LoadTable loads;
     PoolSums sums;
@@ -163,15 +166,15 @@
     CrashBook crashes;
     ChatPointers chats;
     DigestEntry own;
-    std::optional<Instant> ownMadeAt; ///< None forces a new version.
+    std::optional<Instant> ownMadeAt; ///< Without a value, the next refresh makes a new version.
     Instant digestAt;
     Instant expiredAt;
 
     // Crashes.
     std::uint32_t crashSequence = 0;
     std::optional<Instant> crashAt;
-    std::set<RunId> crashRuns; ///< Running at the last crash, not broken yet.
-    std::set<RunId> delayed;      ///< Second tries whose copies elsewhere may still crash.
+    std::set<RunId> crashRuns; ///< Runs at the time of the last crash that have not broken yet.
+    std::set<RunId> delayed;   ///< Second tries, delayed as copies elsewhere may still crash.
 
     // Orders.
     FencingNumbers fencing;
@@ -179,14 +182,14 @@
     Instant orderGivenAt;
     Instant orderNotBefore;
     Instant reportAt;
-    Instant reportWantedAfter; ///< Older reports may not show the last order's effect.
+    Instant reportWantedAfter; ///< An older report may not show the effect of the last order.
     std::uint32_t orderFailures = 0;
     std::uint32_t reportsSincePause = 0;
     bool ordersStopped = false;
     bool outForRollout = false;
     std::optional<Instant> quietSince;
 
-    // Handing chats off on the way out.
+    // Handoff of chats before leaving.
     std::optional<Instant> leavingSince;
     std::deque<ChatKey> handoffs;
     std::uint32_t handoffsOutstanding = 0;
@@ -219,7 +222,7 @@
     [[nodiscard]] auto servingHolder(ChatKey chat) const -> UpstreamId;
     [[nodiscard]] auto checkLoad(const Submit &message) const -> std::optional<Rejection>;
     [[nodiscard]] auto mayWaitForContext(const Submit &message,
-                                     const settings::Customer *customer) const -> bool;
+                                         const settings::Customer *customer) const -> bool;
     [[nodiscard]] auto bound() const -> std::uint32_t;
     [[nodiscard]] auto runningBound() const -> std::uint32_t;
     [[nodiscard]] auto mayReconnect(const Job &job) const -> bool;
@@ -306,7 +309,8 @@
     auto checkLostRuns() -> void;
     [[nodiscard]] auto earliestStart(const Job &job) const -> Instant;
     auto releaseDelayed() -> void;
-    [[nodiscard]] auto secondTryUpstream(Fingerprint fingerprint) const -> std::optional<UpstreamId>;
+    [[nodiscard]] auto secondTryUpstream(Fingerprint fingerprint) const
+        -> std::optional<UpstreamId>;
 
     // sidecar-leaving.cc
     auto on(const HostListRead &event) -> void;
@@ -332,11 +336,12 @@
 
 [[nodiscard]] auto stateName(UpstreamState state) -> std::string_view;
 
-/// `team/customer`, as a `Resume` names it.
+/// Returns `team/customer`, the form used in `Resume`.
 [[nodiscard]] auto fullCustomer(const Terms &terms) -> std::string;
 
-/// The id a request has at the engine. It ends in a hash of the customer, so that nobody who
-/// learns a request id can resume another customer's stream after a restart of the sidecar.
+/// Returns the id of a request at the engine. The id ends in a hash of the customer, so that a
+/// caller who learns a request id cannot resume another customer's stream after a restart of the
+/// sidecar.
 [[nodiscard]] auto engineRequest(const RequestId &request, const std::string &customer)
     -> RequestId;
 
--- a/src/core/sidecar-submit.cc
+++ b/src/core/sidecar-submit.cc
@@ -23,8 +23,8 @@
     applyEntries(std::move(message.loads));
     if (attachKnown(link, message) || submitKey(link, message))
         return;
-    // Whether it ran comes first: a late duplicate of what ran must not be called "not run" for
-    // being late.
+    // The history is checked first: a late duplicate of a request that ran must not be reported as
+    // "not run" because it is late.
     auto rejection = checkHistory(message);
     if (!rejection)
         rejection = checkAddress(message);
@@ -40,7 +40,7 @@
         accept(link, std::move(message));
 }
 
-// A duplicate of a request that is known here joins it; it must never run a second time.
+// A duplicate of a known request is attached to it and must never run a second time.
 auto SidecarNode::State::attachKnown(LinkId link, const Submit &message) -> bool
 {
     if (const auto *ended =
@@ -73,7 +73,7 @@
                                 std::string_view cause) -> void
 {
     job.attempts.emplace_back(message.request, message.attempt);
-    // It is told the failure of the attempt that it joins, so it must be as final.
+    // The attempt gets the failure of the job that it joins, so it must be equally final.
     if (job.phase == JobPhase::Failed)
         endedAttempts.put(attemptHash(message.request, message.attempt), job.failure.run,
                           attemptExpiry(message.notAfter));
@@ -86,16 +86,16 @@
 auto SidecarNode::State::checkAddress(const Submit &message) const -> std::optional<Rejection>
 {
     if (message.target != 0 && message.target != identity.incarnation) {
-        // A ticket may have run in the life that it names, unless its caller never sent it.
+        // A ticket may have run in the incarnation that it names, unless its caller never sent it.
         const auto mayHaveRun =
             ticketKeyExpiry(message.terms.idempotencyKey) && !message.terms.firstSend;
         if (mayHaveRun)
-            return Rejection{
-                refusalOf(ErrorKind::OutcomeUnknown, Run::Unknown, "the ticket's life is over"), 0,
-                "ticket-life"};
-        return Rejection{
-            refusalOf(ErrorKind::StaleIncarnation, Run::NotRun, "addressed to an earlier life"), 0,
-            "incarnation"};
+            return Rejection{refusalOf(ErrorKind::OutcomeUnknown, Run::Unknown,
+                                       "the ticket's incarnation has ended"),
+                             0, "ticket-life"};
+        return Rejection{refusalOf(ErrorKind::StaleIncarnation, Run::NotRun,
+                                   "addressed to an earlier incarnation"),
+                         0, "incarnation"};
     }
     if (message.notAfter <= now)
         return Rejection{refusalOf(ErrorKind::DeadlineExceeded, Run::NotRun, "arrived too late"), 0,
@@ -104,8 +104,9 @@
         return Rejection{refusalOf(ErrorKind::NotReady, Run::NotRun, "no settings yet"), 0,
                          "settings"};
     if (message.terms.team != identity.team || message.terms.pool != identity.pool)
-        return Rejection{refusalOf(ErrorKind::NoUpstream, Run::NotRun, "another pool's upstream"),
-                         0, "pool"};
+        return Rejection{
+            refusalOf(ErrorKind::NoUpstream, Run::NotRun, "the upstream is in another pool"), 0,
+            "pool"};
     return std::nullopt;
 }
 
@@ -113,7 +114,7 @@
 {
     if (startedBefore.find(stableHash(message.request), now) != nullptr)
         return Rejection{
-            refusalOf(ErrorKind::AnswerLost, Run::Ran, "ran before, its answer is gone"), 0,
+            refusalOf(ErrorKind::AnswerLost, Run::Ran, "ran before; its answer was discarded"), 0,
             "ran-before"};
     if (crashes.isSuspect(message.terms.fingerprint, now))
         return Rejection{refusalOf(ErrorKind::CrashSuspect, Run::NotRun, "crashed two upstreams"),
@@ -148,12 +149,12 @@
     if (holder == 0 || chats.isWarm(terms.chat, now) || message.movedFrom != 0
         || redirected.find(stableHash(message.request), now) != nullptr)
         return std::nullopt;
-    return Rejection{refusalOf(ErrorKind::Overloaded, Run::NotRun, "its context moved"), holder,
-                     "moved"};
+    return Rejection{refusalOf(ErrorKind::Overloaded, Run::NotRun, "the chat context moved"),
+                     holder, "moved"};
 }
 
-// A chat that is sent after its context to an upstream that leaves is refused there as well, and
-// has spent its retry: its caller would be turned away while others have room.
+// A chat redirected to its context at an upstream that is leaving would be refused there as well
+// and have used up its retry: its caller would be refused while other upstreams have room.
 auto SidecarNode::State::servingHolder(ChatKey chat) const -> UpstreamId
 {
     const auto holder = chats.holder(chat, now);
@@ -169,8 +170,9 @@
     const auto limit = customer == nullptr ? 0 : customer->inFlightLimit;
     const auto waitsForContext = mayWaitForContext(message, customer);
     if (limit != 0 && inFlightOf(terms) >= limit && !waitsForContext)
-        return Rejection{refusalOf(ErrorKind::CustomerLimit, Run::NotRun, "customer's limit here"),
-                         holder, "customer-limit"};
+        return Rejection{
+            refusalOf(ErrorKind::CustomerLimit, Run::NotRun, "customer is at its limit here"),
+            holder, "customer-limit"};
     const auto isFull = load() + 1 > bound();
     if (isFull && !message.mayWait && !waitsForContext)
         return Rejection{refusalOf(ErrorKind::Overloaded, Run::NotRun, "at its bound"), holder,
@@ -188,8 +190,9 @@
         holder, "unmeetable"};
 }
 
-// Requests of higher priority that are yet to come will go first too. Where they take nearly all
-// slots, a short queue says nothing: its last place would be refused only when its time is up.
+// Future requests of higher priority will run first too. If they take nearly all slots, a short
+// queue does not imply a short wait: its last request would be refused only when its deadline
+// passes.
 auto SidecarNode::State::canMeet(const Waiting &waiting, double ahead) const -> bool
 {
     const auto mean = serviceTime.mean();
@@ -201,10 +204,11 @@
     return now + wait + *mean <= waiting.deadline;
 }
 
-// A chat that moves pays for its whole context again, and its turn still takes a place elsewhere.
-// It waits here as long as that is the lesser delay; what runs stays within the bound.
+// A chat that moves must compute its whole context again, and its request still takes a slot at
+// another upstream. The request waits here while that is the shorter delay; the running requests
+// stay within the bound.
 auto SidecarNode::State::mayWaitForContext(const Submit &message,
-                                       const settings::Customer *customer) const -> bool
+                                           const settings::Customer *customer) const -> bool
 {
     const auto &terms = message.terms;
     const auto mean = serviceTime.mean();
@@ -228,13 +232,13 @@
     return admissionBound(pool, wholePoolLoad(view(), loads, sums, now), slots);
 }
 
-// What waits beyond the bound starts when others run more. Those that wait do not count towards
-// this mean, or a queue would raise the very bound that holds it back.
+// Requests that wait beyond the bound start when other upstreams run more. Waiting requests do not
+// count towards this mean, or a queue would raise the bound that limits it.
 auto SidecarNode::State::runningBound() const -> std::uint32_t
 {
-    auto heard = wholePoolLoad(view(), loads, sums, now);
-    heard.load = heard.running;
-    return std::max(1U, admissionBound(pool, heard, slots));
+    auto runningLoad = wholePoolLoad(view(), loads, sums, now);
+    runningLoad.load = runningLoad.running;
+    return std::max(1U, admissionBound(pool, runningLoad, slots));
 }
 
 auto SidecarNode::State::customerOf(const Terms &terms) const -> const settings::Customer *
@@ -257,7 +261,7 @@
     return count;
 }
 
-// Requests that wait at home for their customer's limit must not start beyond it.
+// Requests that wait here for their customer's limit must not start beyond the limit.
 auto SidecarNode::State::customersAtLimit() const -> std::set<std::string>
 {
     std::set<std::string> full;
@@ -330,7 +334,7 @@
 auto SidecarNode::State::reject(LinkId link, const Submit &message, const Rejection &rejection)
     -> void
 {
-    // The caller may be told "not run" from here on, so a late duplicate must not run either.
+    // "Not run" may be reported to the caller from now on, so a late duplicate must not run either.
     if (findJob(message.request) == nullptr)
         endedAttempts.put(attemptHash(message.request, message.attempt), rejection.failure.run,
                           attemptExpiry(message.notAfter));
@@ -363,8 +367,8 @@
     return {kind, run, std::move(detail), retryAfterFor(backlog(), serviceTime.mean())};
 }
 
-// How long an attempt is remembered: until no message about it can be on its way any more. New
-// settings may have shortened the longest deadline since it was sent.
+// Returns until when an attempt is stored: until no message about it can be in transit any more.
+// New settings may have reduced the maximum deadline since the attempt was sent.
 auto SidecarNode::State::attemptExpiry(Instant notAfter) const -> Instant
 {
     const auto latest = std::min(notAfter, now + maxAttemptLifetime);
--- a/src/core/token.cc
+++ b/src/core/token.cc
@@ -30,7 +30,8 @@
     return value;
 }
 
-// Splits into exactly `count` fields; the last keeps any further separators.
+// Splits `text` into exactly `count` fields. The last field keeps any further separators; the
+// result is empty if there are too few.
 auto split(std::string_view text, std::size_t count) -> std::vector<std::string_view>
 {
     std::vector<std::string_view> fields;
@@ -47,9 +48,9 @@
 
 } // namespace
 
-auto formatContext(const UpstreamLife &life) -> std::string
+auto formatContext(const UpstreamLife &context) -> std::string
 {
-    return hex(life.upstream) + separator + hex(life.incarnation);
+    return hex(context.upstream) + separator + hex(context.incarnation);
 }
 
 auto parseContext(std::string_view text) -> std::optional<UpstreamLife>
