--- a/include/applehatch/core/sidecar-node.h
+++ b/include/applehatch/core/sidecar-node.h
@@ -202,7 +202,7 @@
     std::size_t tombstones =
         100000; ///< Entries of each table of ended attempts or started requests.
     Duration answerLifetime =
-        std::chrono::seconds(60); ///< From the end of an unacknowledged answer.
+        std::chrono::seconds(60); ///< After the answer ends, if not acknowledged.
     Duration digestPeriod = std::chrono::seconds(1);
     std::size_t digestBytes = 1000;                    ///< Maximum size of a digest datagram.
     std::size_t unsolicitedEntries = 10;               ///< Entries of an unsolicited digest.
--- a/src/core/settings-replica.cc
+++ b/src/core/settings-replica.cc
@@ -33,7 +33,7 @@
 /// Consecutive replies that report a difference before a pull lists all indices. Two peers differ
 /// briefly while a change spreads, and listing then would cost more traffic than the change.
 constexpr unsigned maxDifferingReplies = 3;
-/// Interval of direct reads that lack the index advertised by peers.
+/// Interval of direct reads of a service that lacks the index advertised by peers.
 constexpr Duration minDirectReadInterval = seconds(4);
 constexpr Duration maxDirectReadInterval = seconds(300);
 /// Maximum number of indices searched for at a time. The highest are dropped first, as they are the
