--- a/src/core/sidecar-answers.cc
+++ b/src/core/sidecar-answers.cc
@@ -7,7 +7,8 @@
 
 namespace {
 
-// A job may be known by several requests; a refusal must not name another one's attempt.
+// Returns the last attempt of `request`. A job may have several requests, and a refusal must not
+// name the attempt of another one.
 auto lastAttempt(const Job &job, const RequestId &request) -> std::uint32_t
 {
     std::uint32_t last = 0;
@@ -26,7 +27,7 @@
     return found == byRequest.end() ? nullptr : &jobs.at(found->second);
 }
 
-auto SidecarNode::State::read(Job &job, Reader reader) -> void
+auto SidecarNode::State::addReader(Job &job, Reader reader) -> void
 {
     std::erase_if(job.readers, [&](const Reader &other) {
         return other.link == reader.link && other.request == reader.request;
@@ -41,7 +42,7 @@
     std::erase_if(job.readers, [&](Reader &reader) { return serveReader(job, reader); });
 }
 
-// True when the reader has been told the end.
+// Returns true once the reader was sent the end of the answer or a refusal.
 auto SidecarNode::State::serveReader(Job &job, Reader &reader) -> bool
 {
     if (job.phase == JobPhase::Failed) {
@@ -56,8 +57,9 @@
     if (reader.next < answer->base()) {
         send(reader.link,
              Refusal{reader.request, reader.attempt,
-                     refusalOf(ErrorKind::AnswerLost, Run::Ran, "its beginning is gone"), 0,
-                     freshestFrom(self, loads, carriedEntries, now)});
+                     refusalOf(ErrorKind::AnswerLost, Run::Ran,
+                               "the beginning of the answer was discarded"),
+                     0, freshestFrom(self, loads, carriedEntries, now)});
         return true;
     }
     if (!reader.headSent)
@@ -66,7 +68,7 @@
                   job.replayed || reader.replayed, job.warm});
     reader.headSent = true;
     sendBytes(*answer, reader);
-    if (job.phase != JobPhase::Whole)
+    if (job.phase != JobPhase::Complete)
         return false;
     send(reader.link,
          End{reader.request, answer->length(), answer->hash(),
@@ -93,31 +95,33 @@
         answers.acknowledge(job->run, message.offset);
         Reader reader{link, message.request, lastAttempt(*job, message.request), message.offset};
         reader.resumed = true;
-        read(*job, std::move(reader));
+        addReader(*job, std::move(reader));
         return;
     }
     const auto isGone =
         job != nullptr || startedBefore.find(stableHash(message.request), now) != nullptr;
-    const auto mayBeHeld = pool.kind == settings::PoolKind::Model && settings;
-    if (!isGone && mayBeHeld && queue.size() < pool.queueLimit) {
+    const auto mayBeAtEngine = pool.kind == settings::PoolKind::Model && settings;
+    if (!isGone && mayBeAtEngine && queue.size() < pool.queueLimit) {
         continueStream(link, message);
         return;
     }
-    // The same words whether it is another customer's or nobody's, so that nothing is learnt.
+    // The message is the same for an answer of another customer and for none, so that it does not
+    // reveal which answers exist.
     send(link,
          Refusal{message.request, 0,
                  refusalOf(ErrorKind::AnswerLost, Run::Unknown, "no such answer"), 0,
                  freshestFrom(self, loads, carriedEntries, now)});
 }
 
-// The engine may still hold the stream of a request that an earlier life of this sidecar started.
+// The engine may still have the stream of a request that an earlier incarnation of this sidecar
+// started.
 auto SidecarNode::State::continueStream(LinkId link, const Resume &message) -> void
 {
     const auto run = ++lastRun;
     const auto slash = message.customer.find('/');
     auto &job = jobs[run];
     job.run = run;
-    job.names = {message.request};
+    job.requestIds = {message.request};
     job.notAfter = now + pool.maxDeadline;
     job.acceptedAt = now;
     job.continued = true;
@@ -130,7 +134,7 @@
     waiting.id = run;
     queue.push(waiting, pool.queueOrder);
     logJob("admit", message.request, job.terms, "continue");
-    read(job, {link, message.request, 0, message.offset});
+    addReader(job, {link, message.request, 0, message.offset});
     dispatch();
 }
 
@@ -147,19 +151,21 @@
 auto SidecarNode::State::revoke(LinkId link, const Revoke &message) -> void
 {
     auto *job = findJob(message.request);
-    const auto isOfJob = job != nullptr
-        && std::any_of(job->attempts.begin(), job->attempts.end(), [&](const auto &seen) {
-                             return seen.first == message.request && seen.second == message.attempt;
-                         });
+    const auto isOfJob =
+        job != nullptr
+        && std::any_of(job->attempts.begin(), job->attempts.end(), [&](const auto &known) {
+               return known.first == message.request && known.second == message.attempt;
+           });
     const auto run = isOfJob ? revokeJob(*job, link, message) : revokeUnknown(message);
-    endedAttempts.put(attemptHash(message.request, message.attempt), run, attemptMemory());
+    endedAttempts.put(attemptHash(message.request, message.attempt), run, attemptExpiry());
     log(LogLine("revoke").add("request", message.request).add("run", runName(run)));
     send(link, Revoked{message.request, message.attempt, run});
     dispatch();
 }
 
-// A router gives up a stream 10 s after its caller left. The caller may have come back through
-// another router, under the same name, and would lose the rest of its answer with the first one's.
+// A router revokes a stream 10 s after its caller disconnected. The caller may have resumed it with
+// the same request id through another router; removing that reader too would lose the rest of the
+// answer.
 auto SidecarNode::State::revokeJob(Job &job, LinkId link, const Revoke &message) -> Run
 {
     std::erase_if(job.readers, [&](const Reader &reader) {
@@ -167,22 +173,22 @@
         return !isOfAnother && reader.request == message.request
             && reader.attempt == message.attempt;
     });
-    if (job.phase == JobPhase::Whole)
+    if (job.phase == JobPhase::Complete)
         return Run::Ran;
     if (job.phase == JobPhase::Failed)
         return job.failure.run;
-    // Another router or another request with the same key still waits for it.
+    // Another router or another request with the same key still reads the answer.
     if (!job.readers.empty())
         return Run::Unknown;
     if (job.phase == JobPhase::Waiting) {
         fail(job, refusalOf(ErrorKind::Revoked, Run::NotRun, "revoked"), "revoked");
         return Run::NotRun;
     }
-    // A run-once call cut off half way would leave its caller without an outcome for ever; it is
-    // let finish and recorded, so that the next send of its key is answered.
+    // The outcome of a cancelled run-once request would remain unknown forever. It is left to
+    // finish and is recorded, so that the next request with its key is answered.
     if (job.phase == JobPhase::Running && !job.isRunOnce())
         cancel(job, refusalOf(ErrorKind::Revoked, Run::Unknown, "revoked"), "revoked");
-    job.unreadSince = listened;
+    job.unreadSince = stallAwareNow;
     return Run::Unknown;
 }
 
@@ -192,23 +198,25 @@
         return *ended;
     if (startedBefore.find(stableHash(message.request), now) != nullptr)
         return Run::Ran;
-    // What ran may be forgotten here, or have run in an earlier life.
+    // The record of the attempt may have been evicted, or it may have run in an earlier
+    // incarnation.
     const auto mayBeForgotten =
         startedBefore.forgottenUntil() > now || endedAttempts.forgottenUntil() > now;
     const auto isOurs = message.target == identity.incarnation;
-    const auto isOldEnough = message.target == 0 && now - begunAt >= 2 * pool.maxDeadline;
+    const auto isOldEnough = message.target == 0 && now - initializedAt >= 2 * pool.maxDeadline;
     return !mayBeForgotten && (isOurs || isOldEnough) ? Run::NotRun : Run::Unknown;
 }
 
-// The store gave these answers up: finished ones are forgotten, running ones are stopped.
-auto SidecarNode::State::answersGivenUp(const std::vector<RunId> &runs) -> void
+// The answer store evicted the answers of `runs`: finished jobs are removed, active ones fail.
+auto SidecarNode::State::handleEvicted(const std::vector<RunId> &runs) -> void
 {
     for (const auto run : runs) {
         const auto found = jobs.find(run);
         if (found == jobs.end())
             continue;
         auto &job = found->second;
-        const auto failure = refusalOf(ErrorKind::AnswerLost, Run::Ran, "more than is kept");
+        const auto failure =
+            refusalOf(ErrorKind::AnswerLost, Run::Ran, "evicted to stay within the byte limits");
         if (job.phase == JobPhase::Running)
             cancel(job, failure, "answer-bytes");
         else if (job.phase == JobPhase::Lost)
@@ -223,7 +231,7 @@
     const auto found = jobs.find(run);
     if (found == jobs.end())
         return;
-    for (const auto &name : found->second.names)
+    for (const auto &name : found->second.requestIds)
         byRequest.erase(name);
     answers.drop(run);
     active.erase(run);
--- a/src/core/sidecar-keys.cc
+++ b/src/core/sidecar-keys.cc
@@ -8,12 +8,12 @@
 
 namespace {
 
-// A ticket is remembered until it expires, so its lifetime must be bounded too.
-constexpr Duration longestTicket = std::chrono::hours(1);
+// A ticket is stored until it expires, so its lifetime must be limited.
+constexpr Duration maxTicketLifetime = std::chrono::hours(1);
 
 } // namespace
 
-// A key that is known here is answered from the table, whatever else would be checked.
+// A known key is answered from the table, before any other check.
 auto SidecarNode::State::submitKey(LinkId link, const Submit &message) -> bool
 {
     if (message.terms.idempotencyKey.empty())
@@ -23,8 +23,8 @@
         return false;
     if (entry->fingerprint != message.terms.fingerprint) {
         reject(link, message,
-               {refusalOf(ErrorKind::KeyReused, Run::NotRun, "key of another request"), 0,
-                "key-reused"});
+               {refusalOf(ErrorKind::KeyReused, Run::NotRun, "key was used with another request"),
+                0, "key-reused"});
         return true;
     }
     if (entry->state == RunOnceEntry::State::Unknown) {
@@ -39,10 +39,10 @@
         return true;
     }
     auto &job = found->second;
-    job.names.push_back(message.request);
+    job.requestIds.push_back(message.request);
     byRequest[message.request] = job.run;
     if (job.phase != JobPhase::Waiting)
-        startedBefore.put(stableHash(message.request), true, attemptMemory(message.notAfter));
+        startedBefore.put(stableHash(message.request), true, attemptExpiry(message.notAfter));
     if (!job.isActive())
         ++counted.replays;
     attach(link, message, job, "key");
@@ -55,12 +55,12 @@
     if (terms.idempotencyKey.empty())
         return std::nullopt;
     if (const auto expires = ticketKeyExpiry(terms.idempotencyKey)) {
-        if (message.target == 0 || *expires > now + longestTicket)
-            return Rejection{refusalOf(ErrorKind::BadRequest, Run::NotRun, "not a ticket of ours"),
-                             0, "ticket"};
+        if (message.target == 0 || *expires > now + maxTicketLifetime)
+            return Rejection{refusalOf(ErrorKind::BadRequest, Run::NotRun, "invalid ticket"), 0,
+                             "ticket"};
         if (*expires > now)
             return std::nullopt;
-        // Its entry may have been dropped when it expired.
+        // The entry of the ticket may have been dropped when it expired.
         const auto run = terms.firstSend ? Run::NotRun : Run::Unknown;
         return Rejection{refusalOf(ErrorKind::TicketExpired, run, "ticket has expired"), 0,
                          "ticket-expired"};
@@ -68,13 +68,14 @@
     const auto hash = runOnceHash(terms);
     const auto owner = rendezvousOwner(hash, pool.members);
     if (owner != self)
-        return Rejection{refusalOf(ErrorKind::NoUpstream, Run::NotRun, "key of another upstream"),
-                         owner, "key-owner"};
+        return Rejection{
+            refusalOf(ErrorKind::NoUpstream, Run::NotRun, "key is owned by another upstream"),
+            owner, "key-owner"};
     if (terms.firstSend)
         return std::nullopt;
-    // Within the window the key may have run at an earlier owner or in an earlier life, which
-    // nobody here can ask.
-    auto openAt = begunAt + pool.resendWindow;
+    // Within the window the key may have run at an earlier owner or in an earlier incarnation,
+    // which cannot be queried.
+    auto openAt = initializedAt + pool.resendWindow;
     for (const auto &past : pastMembers) {
         if (rendezvousOwner(hash, past.members) != self)
             openAt = std::max(openAt, past.until);
@@ -97,7 +98,7 @@
 {
     if (!entry.answer) {
         reject(link, message,
-               {refusalOf(ErrorKind::AnswerLost, Run::Ran, "its recorded answer is gone"), 0,
+               {refusalOf(ErrorKind::AnswerLost, Run::Ran, "the recorded answer was discarded"), 0,
                 "record-gone"});
         return;
     }
@@ -106,9 +107,9 @@
     const auto run = ++lastRun;
     auto &job = jobs[run];
     job.run = run;
-    job.phase = JobPhase::Whole;
+    job.phase = JobPhase::Complete;
     job.terms = message.terms;
-    job.names = {message.request};
+    job.requestIds = {message.request};
     job.attempts = {{message.request, message.attempt}};
     job.headKnown = true;
     job.replayed = true;
@@ -119,11 +120,11 @@
     const auto dropped = answers.append(run, answer->body);
     answers.finish(run, now);
     logJob("replay", message.request, message.terms, "key");
-    read(job, {link, message.request, message.attempt});
-    answersGivenUp(dropped);
+    addReader(job, {link, message.request, message.attempt});
+    handleEvicted(dropped);
 }
 
-auto SidecarNode::State::closeKey(const Job &job, Run run) -> void
+auto SidecarNode::State::finishKey(const Job &job, Run run) -> void
 {
     if (!job.isKeyed())
         return;
@@ -132,8 +133,9 @@
         return;
     }
     const auto *answer = answers.find(job.run);
-    const auto isWhole = job.phase == JobPhase::Whole && answer != nullptr && answer->base() == 0;
-    if (!isWhole) {
+    const auto isComplete =
+        job.phase == JobPhase::Complete && answer != nullptr && answer->base() == 0;
+    if (!isComplete) {
         keys.markUnknown(job.keyName, keyLifetime(job));
         return;
     }
