--- a/include/applehatch/admin/api.h
+++ b/include/applehatch/admin/api.h
@@ -1,4 +1,4 @@
-/// The read-only administration API, apart from the server that carries it.
+/// The read-only administration API, independent of the HTTP server.
 #pragma once
 
 #include "applehatch/core/router-node.h"
@@ -11,18 +11,18 @@
 
 namespace applehatch::admin {
 
-/// Every path of the API begins with this.
+/// Common prefix of all paths of the API.
 inline constexpr std::string_view apiPrefix = "/admin/v1/";
 
-/// One request after the server read it.
+/// A request as read by the server.
 struct Request
 {
     std::string method;
-    std::string path; ///< Percent-decoding is done here, not by the server.
+    std::string path; ///< Still percent-encoded; `handle` decodes it.
     std::string query;
     std::string body;
-    std::string authorization; ///< The header's value; empty without one.
-    bool fromLoopback = false; ///< The caller's address is on this host.
+    std::string authorization; ///< Value of the header; empty when it is absent.
+    bool fromLoopback = false; ///< The caller connects from this host.
 };
 
 struct Answer
@@ -31,7 +31,7 @@
     std::string body; ///< JSON; `application/problem+json` when `status` is 400 or more.
 };
 
-/// What the API tells of the process itself.
+/// Status that the API reports about the process itself.
 struct ProcessStatus
 {
     std::string name;
@@ -42,7 +42,8 @@
     std::uint64_t inFlight = 0;
 };
 
-/// Where the answers come from; the host sets each hook and holds its locks within it.
+/// Callbacks that provide the data of the answers. The program sets each callback, which takes any
+/// locks it needs.
 struct Source
 {
     std::function<ProcessStatus()> process;
@@ -50,21 +51,22 @@
     std::function<std::vector<core::SubtreeStatus>()> subtrees;
     std::function<std::optional<core::DigestEntry>(core::UpstreamId)> load;
     std::function<core::PoolLoad(const core::Pool &)> poolLoad;
-    /// Team, pool, chat, context token; unset in a sidecar, which routes nothing.
+    /// Takes team, pool, chat and context token; unset in a sidecar, which routes no requests.
     std::function<std::vector<core::Candidate>(const std::string &, const std::string &,
                                                const std::string &, const std::string &)>
         explain;
     std::function<core::Instant()> now;
 };
 
-/// Whether `authorization` opens a team's subtree.
+/// Returns whether `authorization` grants access to a team's subtree.
 ///
-/// With a token hash the bearer token must match it, compared in constant time. Without one only
-/// callers on this host are let in, so that a team that set no token is not open to the network.
+/// If the team has a token hash, the bearer token must match it; the comparison takes constant
+/// time. Otherwise only callers on this host have access, so that a team without a token is not
+/// exposed to the network.
 [[nodiscard]] auto authorized(const settings::Team &team, const std::string &authorization,
                               bool fromLoopback) -> bool;
 
-/// Answers one request; changes nothing.
+/// Answers one request without side effects.
 [[nodiscard]] auto handle(const Request &request, const Source &source) -> Answer;
 
 } // namespace applehatch::admin
--- a/include/applehatch/settings/process-file.h
+++ b/include/applehatch/settings/process-file.h
@@ -1,4 +1,4 @@
-/// A process's own file, given with `--config`: who it is and where it listens.
+/// The configuration file of one process, given with `--config`: its identity and addresses.
 #pragma once
 
 #include "applehatch/settings/settings.h"
@@ -9,20 +9,20 @@
 
 namespace applehatch::settings {
 
-/// Which of the two programs reads the file; each takes some keys that the other refuses.
+/// The program that reads the file. Each program accepts some keys that the other refuses.
 enum class Role {
     Router,
     Sidecar,
 };
 
-/// The typed file. What belongs to the other role is left empty.
+/// Typed form of the file. Fields of the other role stay empty.
 struct ProcessFile
 {
     std::string name;
     std::string dataCenter;
-    Address callers; ///< HTTP; routers only. Port 0 takes a free one, as for `admin`.
+    Address callers; ///< HTTP; routers only. Port 0 picks a free port, as for `admin`.
     Address admin;   ///< HTTP: metrics, health, administration.
-    Address digest;  ///< UDP. Port 0 takes a free one for a router.
+    Address digest;  ///< UDP. Port 0 picks a free port; routers only.
     Address links;   ///< Sidecars only.
     Address upstream;
     std::string team;
@@ -35,14 +35,14 @@
     Duration drainDeadline = std::chrono::seconds(600);
 };
 
-/// Outcome of parsing: a file when there are no problems.
+/// Result of parsing: `file` is set only when there are no problems.
 struct ProcessFileResult
 {
     std::shared_ptr<const ProcessFile> file;
     std::vector<Problem> problems;
 };
 
-/// Checks a process's own file; reports every problem at once. Pure.
+/// Validates a process's configuration file and reports all problems at once. A pure function.
 [[nodiscard]] auto parseProcessFile(const std::string &text, Role role) -> ProcessFileResult;
 
 } // namespace applehatch::settings
--- a/include/applehatch/settings/settings.h
+++ b/include/applehatch/settings/settings.h
@@ -1,4 +1,4 @@
-/// What the platform publishes, checked and typed.
+/// Typed form of the settings that the configuration service publishes.
 #pragma once
 
 #include "applehatch/settings/time.h"
@@ -12,13 +12,13 @@
 
 namespace applehatch::settings {
 
-/// A version of a subtree, or of the whole tree, as numbered by the configuration service.
+/// Version of a subtree or of the whole tree, as numbered by the configuration service.
 using SettingsIndex = std::uint64_t;
 
-/// Names one upstream within the fleet: the hash of `team/pool/member`; 0 names none.
+/// Identifies an upstream within the fleet: the hash of `team/pool/member`. 0 means no upstream.
 using UpstreamId = std::uint64_t;
 
-/// Where a process can be reached; always by IP number.
+/// IPv4 address and port of a process; host names are not accepted.
 struct Address
 {
     std::string ip;
@@ -27,7 +27,7 @@
     auto operator==(const Address &) const -> bool = default;
 };
 
-/// One upstream of a pool and the sidecar beside it.
+/// An upstream of a pool and the sidecar that runs next to it.
 struct Member
 {
     UpstreamId id = 0;
@@ -35,8 +35,8 @@
     std::string dataCenter;
     Address sidecar;         ///< TCP, for routers and other sidecars.
     Address digest;          ///< UDP, for load digests.
-    Address upstream;        ///< HTTP, for its own sidecar only.
-    std::uint32_t slots = 1; ///< Requests it runs at once; its capacity.
+    Address upstream;        ///< HTTP, used only by its own sidecar.
+    std::uint32_t slots = 1; ///< Capacity: requests that it runs concurrently.
 };
 
 enum class PoolKind {
@@ -44,7 +44,7 @@
     Service, ///< Plain services, reached under a path prefix.
 };
 
-/// Whether the engines of a pool refuse an order with an old fencing number.
+/// Whether the engines of a pool refuse orders with an outdated fencing number.
 enum class Fencing {
     Honored,
     Ignored,
@@ -54,44 +54,44 @@
 enum class QueueOrder {
     FirstCome,
     EarliestDeadline,
-    DeadlineWithRefusal, ///< As above, and what cannot be met is refused on arrival.
+    DeadlineWithRefusal, ///< As above; refuses on arrival what cannot meet its deadline.
 };
 
-/// The engines of one deployment that stand in for one another.
+/// Interchangeable upstreams of one deployment.
 struct Pool
 {
     std::string team;
     std::string name;
     PoolKind kind = PoolKind::Model;
-    std::string pathPrefix;          ///< Services only; begins with a slash.
-    std::vector<std::string> models; ///< Models only; what its engines hold.
-    double loadMultiple = 1.25;      ///< Bound on an upstream's load over the mean of its pool.
+    std::string pathPrefix;          ///< Service pools only; begins with a slash.
+    std::vector<std::string> models; ///< Model pools only; models that its engines serve.
+    double loadMultiple = 1.25;      ///< Load bound of an upstream over the mean of its pool.
     std::uint32_t queueLimit = 64;   ///< Requests that may wait at one upstream.
-    Duration queueWait = std::chrono::seconds(5); ///< Longest wait before a refusal.
-    /// Longest expected wait that a chat takes at its home rather than start cold elsewhere.
-    /// Zero: it moves at once. The longer, the more chats find their context, and the more often a
-    /// busy upstream stays at its bound.
+    Duration queueWait = std::chrono::seconds(5); ///< Maximum wait before a refusal.
+    /// Maximum expected wait that a chat accepts at its owner rather than start cold on another
+    /// engine. Zero moves the chat at once. With a longer wait more chats find their context, and a
+    /// busy upstream stays at its load bound more often.
     Duration homeWait = std::chrono::seconds(1);
     QueueOrder queueOrder = QueueOrder::DeadlineWithRefusal;
     Duration defaultDeadline = std::chrono::seconds(120);
     Duration maxDeadline = std::chrono::seconds(600);
-    Duration resendWindow = std::chrono::seconds(600); ///< How long a caller may repeat a key.
-    double retryBudget = 0.1; ///< Retries allowed as a share of recent requests.
+    Duration resendWindow = std::chrono::seconds(600); ///< How long a caller may resend a key.
+    double retryBudget = 0.1; ///< Allowed retries as a share of recent requests.
     Fencing fencing = Fencing::Honored;
-    std::uint32_t rolloutWidth = 1;   ///< Upstreams that may be out at a time in a rollout.
-    bool preferOwnDataCenter = false; ///< Hash among the router's own data centre first.
+    std::uint32_t rolloutWidth = 1;   ///< Upstreams that a rollout may take out at a time.
+    bool preferOwnDataCenter = false; ///< Hash over the router's own data centre first.
     std::vector<Member> members;
 };
 
-/// One of a team's customers.
+/// A customer of a team.
 struct Customer
 {
     std::string name;
     double weight = 1.0;             ///< Share of a queue relative to other customers.
-    std::uint32_t inFlightLimit = 0; ///< Per upstream; 0 sets none.
+    std::uint32_t inFlightLimit = 0; ///< Per upstream; 0 means no limit.
 };
 
-/// One team's subtree, accepted whole.
+/// The settings of one team; a subtree is accepted only as a whole.
 struct Team
 {
     std::string name;
@@ -101,7 +101,7 @@
     std::string adminTokenHash; ///< Lower-case hex SHA-256 of the token; empty grants no access.
 };
 
-/// What one process has in force; never changed in place, replaced by a newer one.
+/// Settings in force in one process. Immutable: an update replaces the whole object.
 struct Settings
 {
     SettingsIndex index = 0; ///< The highest index seen; subtrees may be older.
@@ -110,31 +110,31 @@
 
 using SettingsPtr = std::shared_ptr<const Settings>;
 
-/// One thing wrong with a subtree.
+/// An error or a warning found in a settings text.
 struct Problem
 {
     std::string path;                  ///< Such as `pools.drafting.members[2].slots`.
-    std::optional<std::uint32_t> line; ///< Where known; from 1.
-    std::string expected;              ///< What the key takes, and what was found.
+    std::optional<std::uint32_t> line; ///< Counted from 1; empty when unknown.
+    std::string expected;              ///< Accepted values, and the value found.
 
     auto operator==(const Problem &) const -> bool = default;
 };
 
-/// Outcome of parsing a subtree: a team when there are no problems.
+/// Result of parsing a subtree: `team` is set only when there are no problems.
 struct ParseResult
 {
     std::shared_ptr<const Team> team;
     std::vector<Problem> problems;
 };
 
-/// Checks one team's subtree and gives its typed form.
+/// Validates a team's subtree and converts it to its typed form.
 ///
-/// A pure function of its arguments, so that every process accepts or refuses the same text. All
-/// problems are reported at once. `text` is JSON with comments.
+/// A pure function of its arguments, so that all processes accept or refuse the same texts. Reports
+/// all problems at once. `text` is JSON with comments.
 [[nodiscard]] auto parseTeam(const std::string &teamName, const std::string &text,
                              SettingsIndex index) -> ParseResult;
 
-/// The id of an upstream from its full name.
+/// Derives an upstream's id from its team, pool and member names; never 0.
 [[nodiscard]] auto upstreamId(const std::string &team, const std::string &pool,
                               const std::string &member) -> UpstreamId;
 
--- a/include/applehatch/settings/time.h
+++ b/include/applehatch/settings/time.h
@@ -1,4 +1,4 @@
-/// The time types of the decision packages.
+/// Time types of the decision logic, which never reads a clock.
 #pragma once
 
 #include <chrono>
@@ -6,13 +6,13 @@
 
 namespace applehatch::settings {
 
-/// All durations inside decisions; microseconds.
+/// Duration in the decision logic, in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// A clock that cannot be read.
+/// Clock type without `now()`.
 ///
-/// Decisions are given the time with each event, so that the same code runs in the programs, in
-/// tests and in a bench that bends time. It therefore has no `now()`.
+/// The decision logic receives the time with each event, so that the same code runs in the
+/// programs, in tests and in a test bench with simulated time.
 struct NodeClock
 {
     using duration = Duration;
@@ -22,7 +22,7 @@
     static constexpr bool is_steady = true;
 };
 
-/// A reading of one process's steady clock. Readings of two processes do not compare.
+/// A reading of one process's steady clock. Readings of different processes are not comparable.
 using Instant = NodeClock::time_point;
 
 } // namespace applehatch::settings
--- a/include/applehatch/telemetry/bounded-output.h
+++ b/include/applehatch/telemetry/bounded-output.h
@@ -1,4 +1,4 @@
-/// Standard output that never makes its writer wait.
+/// Standard output that never blocks the writer.
 #pragma once
 
 #include <cstddef>
@@ -9,15 +9,15 @@
 
 namespace applehatch::telemetry {
 
-/// A stream buffer over a descriptor that may stop taking bytes.
+/// Stream buffer over a descriptor that may stop accepting bytes.
 ///
-/// Whoever reads a process's log may stop reading. A plain write would then hold up every request
-/// of the process. Here lines wait in memory up to a bound; beyond it they are dropped and counted,
-/// and a line tells how many once there is room again. Thread-safe.
+/// The reader of a process's log may stop reading. A plain write would then block every request of
+/// the process. This buffer queues lines in memory up to `capacity` bytes, drops and counts lines
+/// beyond it, and reports the number of dropped lines once there is room again. Thread-safe.
 class BoundedOutput : public std::streambuf
 {
 public:
-    /// About 1,000 lines: a second of a busy router.
+    /// Size in bytes; holds about 1,000 lines, the output of a busy router in one second.
     static constexpr std::size_t defaultCapacity = 262144;
 
     explicit BoundedOutput(int descriptor, std::size_t capacity = defaultCapacity);
@@ -27,7 +27,7 @@
 protected:
     auto overflow(int_type character) -> int_type override;
     auto xsputn(const char *text, std::streamsize count) -> std::streamsize override;
-    /// The end of a line: hands over as much as the descriptor takes at once.
+    /// Ends a line; writes as much as the descriptor accepts without blocking.
     auto sync() -> int override;
 
 private:
@@ -36,11 +36,11 @@
 
     int descriptor_;
     std::size_t capacity_;
-    mutable std::mutex mutex_; ///< Guards all below.
+    mutable std::mutex mutex_; ///< Guards all members below.
     std::string line_;
-    std::string waiting_;
+    std::string pending_;
     std::uint64_t dropped_ = 0;
-    std::uint64_t untold_ = 0; // Dropped since the last line that told so.
+    std::uint64_t unreportedDrops_ = 0; ///< Lines dropped since the last report.
 };
 
 } // namespace applehatch::telemetry
--- a/include/applehatch/telemetry/clock.h
+++ b/include/applehatch/telemetry/clock.h
@@ -1,4 +1,4 @@
-/// The clocks of a process; decisions are given their readings.
+/// Clocks of a process; their readings are passed to the decision logic.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -7,10 +7,10 @@
 
 namespace applehatch::telemetry {
 
-/// The steady clock, which each event is stamped with.
+/// Reads the steady clock, which provides the time of each event.
 [[nodiscard]] auto steadyNow() -> core::Instant;
 
-/// Microseconds of the wall clock since 1970; a sidecar's incarnation.
+/// Reads the wall clock in microseconds since 1970; serves as a sidecar's incarnation.
 [[nodiscard]] auto wallMicroseconds() -> std::uint64_t;
 
 } // namespace applehatch::telemetry
--- a/include/applehatch/telemetry/logger.h
+++ b/include/applehatch/telemetry/logger.h
@@ -1,4 +1,4 @@
-/// The log: one line of key=value pairs for each event, on standard output.
+/// Log on standard output with one line of key=value pairs per event.
 #pragma once
 
 #include <string_view>
@@ -7,11 +7,11 @@
 
 enum class LogLevel {
     Info,
-    Warning, ///< Something failed and the process goes on.
+    Warning, ///< Something failed; the process continues.
     Error,   ///< The process cannot do its work.
 };
 
-/// Sets the log up; once, before the first `writeLog`.
+/// Initializes the log. Call once, before the first `writeLog`.
 auto startLog() -> void;
 
 /// Writes `time=... level=... TEXT`; `text` is a line of key=value pairs. Thread-safe.
--- a/include/applehatch/telemetry/metrics.h
+++ b/include/applehatch/telemetry/metrics.h
@@ -1,4 +1,4 @@
-/// Metrics of the process in the text format of Prometheus.
+/// Process metrics in the Prometheus text format.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -16,14 +16,14 @@
 
 using Labels = std::map<std::string, std::string>;
 
-/// Names and help of a family of metrics.
+/// Name and help text of a metric family.
 struct MetricName
 {
     std::string name;
     std::string help;
 };
 
-/// The registry and what fills it at each scrape. Thread-safe.
+/// Metric registry with callbacks that update it at each scrape. Thread-safe.
 class Metrics
 {
 public:
@@ -34,10 +34,10 @@
     [[nodiscard]] auto histogram(const MetricName &name, const std::vector<double> &buckets,
                                  const Labels &labels = {}) -> prometheus::Histogram &;
 
-    /// Runs `update` before each scrape; for values that are kept elsewhere.
+    /// Registers `update` to run before each scrape, for values that are maintained elsewhere.
     auto onScrape(std::function<void()> update) -> void;
 
-    /// The text of all metrics.
+    /// Runs the updates and returns all metrics in the text format.
     [[nodiscard]] auto scrape() -> std::string;
 
 private:
@@ -46,10 +46,10 @@
     std::vector<std::function<void()>> updates_;
 };
 
-/// Moves a counter on to a total that is kept elsewhere; never back.
+/// Advances a counter to a total that is maintained elsewhere; never decreases it.
 auto advanceTo(prometheus::Counter &counter, double total) -> void;
 
-/// Adds processor seconds and resident bytes of this process.
+/// Adds the processor time in seconds and the resident memory in bytes of this process.
 auto addProcessMetrics(Metrics &metrics) -> void;
 
 } // namespace applehatch::telemetry
--- a/src/admin/api.cc
+++ b/src/admin/api.cc
@@ -17,12 +17,12 @@
 constexpr int badRequestStatus = 400;
 constexpr int unauthorizedStatus = 401;
 constexpr int notFoundStatus = 404;
-constexpr int methodStatus = 405;
+constexpr int methodNotAllowedStatus = 405;
 
 auto answer(const json &document) -> Answer
 {
-    // A context token or chat name may hold bytes that are not UTF-8; replacing them keeps the
-    // process alive, where the default would throw.
+    // A context token or chat name may contain invalid UTF-8. The default error handler would throw
+    // and end the process, so invalid bytes are replaced.
     return {okStatus, document.dump(-1, ' ', false, json::error_handler_t::replace)};
 }
 
@@ -38,7 +38,7 @@
     return problem(notFoundStatus, "unknown-path", "no such resource");
 }
 
-/// One team's part of the API, after access to it was granted.
+/// The resources of one team; the request is already authorized.
 class TeamApi
 {
 public:
@@ -53,7 +53,7 @@
         if (rest.size() == 1 && rest[0] == "check")
             return check();
         if (request_.method != "GET")
-            return problem(methodStatus, "bad-request", "only GET is answered here");
+            return problem(methodNotAllowedStatus, "bad-request", "only GET is answered here");
         if (rest.empty())
             return answer(detail::teamDocument(team_));
         if (rest.size() == 1 && rest[0] == "settings")
@@ -67,7 +67,7 @@
     [[nodiscard]] auto check() const -> Answer
     {
         if (request_.method != "POST")
-            return problem(methodStatus, "bad-request", "post the subtree to check");
+            return problem(methodNotAllowedStatus, "bad-request", "post the subtree to check");
         const auto result = settings::parseTeam(team_.name, request_.body, team_.index + 1);
         return answer({{"accepted", result.team != nullptr},
                        {"problems", detail::problemsDocument(result.problems)}});
@@ -124,22 +124,22 @@
     const settings::Team &team_;
 };
 
-auto refused() -> Answer
+auto unauthorized() -> Answer
 {
     return problem(unauthorizedStatus, "unauthorized", "the token is missing or wrong");
 }
 
-// An unknown team is answered like a wrong token, so that names cannot be probed.
+// Answers an unknown team like a wrong token, so that team names cannot be probed.
 auto teamAnswer(const Request &request, const Source &source, const Segments &segments) -> Answer
 {
     const auto settings = source.settings();
     if (!settings)
-        return refused();
+        return unauthorized();
     const auto team = settings->teams.find(segments[1]);
     if (team == settings->teams.end())
-        return refused();
+        return unauthorized();
     if (!authorized(*team->second, request.authorization, request.fromLoopback))
-        return refused();
+        return unauthorized();
     return TeamApi(request, source, *team->second).handle({segments.begin() + 2, segments.end()});
 }
 
@@ -155,7 +155,7 @@
         return problem(badRequestStatus, "bad-request", "the path cannot be decoded");
     if (segments->size() == 1 && segments->front() == "process") {
         if (request.method != "GET")
-            return problem(methodStatus, "bad-request", "only GET is answered here");
+            return problem(methodNotAllowedStatus, "bad-request", "only GET is answered here");
         return answer(detail::processDocument(source));
     }
     if (segments->size() >= 2 && segments->front() == "teams")
--- a/src/admin/token.cc
+++ b/src/admin/token.cc
@@ -26,7 +26,7 @@
     return hex;
 }
 
-// An early return at the first differing byte would let a caller find the hash byte by byte.
+// Returning early at the first differing byte would let a caller find the hash byte by byte.
 auto equalInConstantTime(std::string_view a, std::string_view b) -> bool
 {
     return a.size() == b.size() && CRYPTO_memcmp(a.data(), b.data(), a.size()) == 0;
--- a/src/admin/url.cc
+++ b/src/admin/url.cc
@@ -9,13 +9,13 @@
 constexpr std::size_t escapeLength = 3;
 constexpr int hexBase = 16;
 
-// Calls `take` with each piece between separators.
-template <typename Take>
-auto forEachPiece(std::string_view text, char separator, Take take) -> bool
+// Calls `visit` with each piece between separators; stops and returns false when `visit` does.
+template <typename Visitor>
+auto forEachPiece(std::string_view text, char separator, Visitor visit) -> bool
 {
     while (!text.empty()) {
         const auto end = std::min(text.find(separator), text.size());
-        if (!take(text.substr(0, end)))
+        if (!visit(text.substr(0, end)))
             return false;
         text.remove_prefix(std::min(end + 1, text.size()));
     }
@@ -49,19 +49,19 @@
 auto pathSegments(std::string_view path) -> std::optional<std::vector<std::string>>
 {
     std::vector<std::string> segments;
-    const auto whole = forEachPiece(path, '/', [&](std::string_view piece) {
+    const auto complete = forEachPiece(path, '/', [&](std::string_view piece) {
         auto segment = decodePercent(piece);
         if (segment && !segment->empty())
             segments.push_back(std::move(*segment));
         return segment.has_value();
     });
-    return whole ? std::optional(segments) : std::nullopt;
+    return complete ? std::optional(segments) : std::nullopt;
 }
 
 auto queryFields(std::string_view query) -> std::optional<std::map<std::string, std::string>>
 {
     std::map<std::string, std::string> fields;
-    const auto whole = forEachPiece(query, '&', [&](std::string_view piece) {
+    const auto complete = forEachPiece(query, '&', [&](std::string_view piece) {
         const auto equals = std::min(piece.find('='), piece.size());
         const auto name = decodePercent(piece.substr(0, equals));
         const auto value = decodePercent(piece.substr(std::min(equals + 1, piece.size())));
@@ -69,7 +69,7 @@
             fields[*name] = *value;
         return name && value;
     });
-    return whole ? std::optional(fields) : std::nullopt;
+    return complete ? std::optional(fields) : std::nullopt;
 }
 
 } // namespace applehatch::admin::detail
--- a/src/settings/check.cc
+++ b/src/settings/check.cc
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// The largest multiple with which no upstream that has free slots may go above its even share of
-/// the load, rounded up, when a request comes on top of half the slots of each; none for a pool
-/// where this keeps no slot free.
+/// Returns the largest `loadMultiple` that keeps every upstream with free slots at or below its
+/// even share of the load, rounded up, when one request arrives while half of each upstream's slots
+/// are in use. Returns nothing for a pool in which these bounds leave no slot free.
 auto evenSpreadMultiple(const Pool &pool) -> std::optional<double>
 {
     if (pool.members.size() < 2)
@@ -23,19 +23,20 @@
         slots += member.slots;
         load += member.slots / 2;
     }
-    std::optional<double> least;
+    std::optional<double> minMultiple;
     for (const auto &member : pool.members) {
         const auto share = load * member.slots;
-        const auto most = (share + slots - 1) / slots;
-        if (most >= member.slots)
+        const auto roundedShare = (share + slots - 1) / slots;
+        if (roundedShare >= member.slots)
             continue;
-        const auto multiple = static_cast<double>(most * slots) / static_cast<double>(share);
-        least = std::min(least.value_or(multiple), multiple);
+        const auto multiple =
+            static_cast<double>(roundedShare * slots) / static_cast<double>(share);
+        minMultiple = std::min(minMultiple.value_or(multiple), multiple);
     }
-    return least;
+    return minMultiple;
 }
 
-/// The first multiple of two decimal places above `multiple`.
+/// Returns the smallest number with two decimal places above `multiple`.
 auto nextHundredth(double multiple) -> double
 {
     constexpr double places = 100;
@@ -51,11 +52,11 @@
 {
     Report report(parseDocument(text, maxTextBytes).locations);
     for (const auto &[name, pool] : team.pools) {
-        const auto even = evenSpreadMultiple(pool);
-        if (!even || pool.loadMultiple > *even)
+        const auto evenMultiple = evenSpreadMultiple(pool);
+        if (!evenMultiple || pool.loadMultiple > *evenMultiple)
             continue;
         report.add(joinPath(joinPath("pools", name), "loadMultiple"),
-                   "at least " + describe(nextHundredth(*even))
+                   "at least " + describe(nextHundredth(*evenMultiple))
                        + ", as otherwise, with half the slots in use, each upstream that holds its "
                          "even share, rounded up, refuses the next request",
                    describe(pool.loadMultiple));
--- a/src/settings/locator.cc
+++ b/src/settings/locator.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Walks a text that the JSON library has accepted; it checks nothing itself.
+/// Scans a text that the JSON library has accepted; does not validate the syntax itself.
 class Scanner
 {
 public:
@@ -19,60 +19,60 @@
     auto run() -> Locations
     {
         value("", 0);
-        return std::move(found_);
+        return std::move(locations_);
     }
 
 private:
-    auto done() const -> bool { return at_ >= text_.size() || found_.tooDeep; }
+    auto done() const -> bool { return position_ >= text_.size() || locations_.tooDeep; }
 
-    auto step() -> char
+    auto advance() -> char
     {
-        const auto letter = text_[at_++];
-        line_ += letter == '\n' ? 1 : 0;
-        return letter;
+        const auto character = text_[position_++];
+        line_ += character == '\n' ? 1 : 0;
+        return character;
     }
 
     auto skipTo(std::string_view end) -> void
     {
-        const auto found = text_.find(end, at_);
+        const auto found = text_.find(end, position_);
         const auto stop = found == std::string_view::npos ? text_.size() : found + end.size();
-        while (at_ < stop) {
-            step();
+        while (position_ < stop) {
+            advance();
         }
     }
 
-    /// Passes over blanks, comments, colons and commas.
-    auto skipBetween() -> void
+    /// Skips whitespace, comments, colons and commas.
+    auto skipSeparators() -> void
     {
-        constexpr std::string_view between = " \t\r\n:,";
+        constexpr std::string_view separators = " \t\r\n:,";
         while (!done()) {
-            if (text_.substr(at_, 2) == "//") {
+            if (text_.substr(position_, 2) == "//") {
                 skipTo("\n");
-            } else if (text_.substr(at_, 2) == "/*") {
-                at_ += 2;
+            } else if (text_.substr(position_, 2) == "/*") {
+                position_ += 2;
                 skipTo("*/");
-            } else if (between.find(text_[at_]) != std::string_view::npos) {
-                step();
+            } else if (separators.find(text_[position_]) != std::string_view::npos) {
+                advance();
             } else {
                 return;
             }
         }
     }
 
-    /// Passes over a string and gives it as it stands, with its quotes.
+    /// Skips a string and returns its source text, including the quotes.
     auto string() -> std::string
     {
-        const auto start = at_;
-        step();
+        const auto start = position_;
+        advance();
         while (!done()) {
-            const auto letter = step();
-            if (letter == '\\') {
-                close();
-            } else if (letter == '"') {
+            const auto character = advance();
+            if (character == '\\') {
+                advanceUnlessDone();
+            } else if (character == '"') {
                 break;
             }
         }
-        return std::string(text_.substr(start, at_ - start));
+        return std::string(text_.substr(start, position_ - start));
     }
 
     auto key() -> std::string
@@ -83,51 +83,51 @@
 
     auto object(const std::string &path, std::size_t depth) -> void
     {
-        step();
-        for (skipBetween(); !done() && text_[at_] != '}'; skipBetween()) {
+        advance();
+        for (skipSeparators(); !done() && text_[position_] != '}'; skipSeparators()) {
             const auto line = line_;
             const auto child = joinPath(path, key());
-            const auto [first, added] = found_.lines.emplace(child, line);
+            const auto [first, added] = locations_.lines.emplace(child, line);
             if (!added) {
-                found_.duplicates.push_back({child, line, first->second});
+                locations_.duplicates.push_back({child, line, first->second});
             }
-            skipBetween();
+            skipSeparators();
             value(child, depth + 1);
         }
-        close();
+        advanceUnlessDone();
     }
 
     auto array(const std::string &path, std::size_t depth) -> void
     {
-        step();
+        advance();
         std::size_t element = 0;
-        for (skipBetween(); !done() && text_[at_] != ']'; skipBetween()) {
+        for (skipSeparators(); !done() && text_[position_] != ']'; skipSeparators()) {
             const auto child = joinPath(path, element++);
-            found_.lines.emplace(child, line_);
+            locations_.lines.emplace(child, line_);
             value(child, depth + 1);
         }
-        close();
+        advanceUnlessDone();
     }
 
-    auto close() -> void
+    auto advanceUnlessDone() -> void
     {
         if (!done()) {
-            step();
+            advance();
         }
     }
 
-    // The recursion is bounded by `maxDepth`; without it a megabyte of brackets would exhaust the
-    // stack of every process that reads the subtree.
+    // `maxDepth` bounds the recursion; otherwise a megabyte of brackets would exhaust the stack of
+    // every process that reads the subtree.
     auto value(const std::string &path, std::size_t depth) -> void
     {
-        skipBetween();
+        skipSeparators();
         if (done()) {
             return;
         }
-        const auto first = text_[at_];
+        const auto first = text_[position_];
         if ((first == '{' || first == '[') && depth >= maxDepth) {
-            found_.tooDeep = true;
-            found_.tooDeepLine = line_;
+            locations_.tooDeep = true;
+            locations_.tooDeepLine = line_;
         } else if (first == '{') {
             object(path, depth);
         } else if (first == '[') {
@@ -141,16 +141,16 @@
 
     auto literal() -> void
     {
-        constexpr std::string_view ends = " \t\r\n:,]}/";
-        while (!done() && ends.find(text_[at_]) == std::string_view::npos) {
-            step();
+        constexpr std::string_view terminators = " \t\r\n:,]}/";
+        while (!done() && terminators.find(text_[position_]) == std::string_view::npos) {
+            advance();
         }
     }
 
     std::string_view text_;
-    std::size_t at_ = 0;
+    std::size_t position_ = 0;
     std::uint32_t line_ = 1;
-    Locations found_;
+    Locations locations_;
 };
 
 } // namespace
--- a/src/settings/locator.h
+++ b/src/settings/locator.h
@@ -1,4 +1,4 @@
-/// Lines of the keys of a JSON text, which the JSON library does not keep.
+/// Line numbers of the keys in a JSON text, which the JSON library does not record.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +19,7 @@
 /// The line of the byte at `offset`, from 1.
 [[nodiscard]] auto lineAt(std::string_view text, std::size_t offset) -> std::uint32_t;
 
-/// A key that stands twice in one object. The JSON library would silently take the later one.
+/// A key that occurs twice in one object. The JSON library would silently use the later one.
 struct DuplicateKey
 {
     std::string path;
@@ -27,19 +27,19 @@
     std::uint32_t firstLine = 0;
 };
 
-/// Where each key of a text stands.
+/// Line numbers of all keys and array elements in a text, by path.
 struct Locations
 {
     std::map<std::string, std::uint32_t> lines;
     std::vector<DuplicateKey> duplicates;
     bool tooDeep = false;          ///< Objects and arrays nest beyond `maxDepth`.
-    std::uint32_t tooDeepLine = 0; ///< Where they do.
+    std::uint32_t tooDeepLine = 0; ///< Line of the first value nested too deeply.
 };
 
-/// Settings nest five levels deep; more would only cost stack.
+/// Valid settings need five levels of nesting; deeper nesting would only cost stack.
 inline constexpr std::size_t maxDepth = 16;
 
-/// Finds all keys of `text`, which must be valid JSON with comments.
+/// Locates all keys in `text`, which must be valid JSON with comments.
 [[nodiscard]] auto locate(std::string_view text) -> Locations;
 
 } // namespace applehatch::settings
--- a/src/settings/parse.cc
+++ b/src/settings/parse.cc
@@ -26,15 +26,15 @@
     const auto rule = nameRule();
     std::map<std::string, Customer> parsed;
     for (const auto &[name, value] : customers.items()) {
-        const auto place = joinPath(path, name);
+        const auto childPath = joinPath(path, name);
         if (!rule.accepts(name)) {
-            report.add(place, rule.expected, describe(name));
+            report.add(childPath, rule.expected, describe(name));
         }
-        ObjectReader reader(value, place, report);
+        ObjectReader reader(value, childPath, report);
         Customer customer;
         customer.name = name;
         reader.real("weight", weightRange, customer.weight);
-        reader.whole("inFlightLimit", Need::Optional, {0, mostInFlight}, customer.inFlightLimit);
+        reader.whole("inFlightLimit", Need::Optional, {0, maxInFlight}, customer.inFlightLimit);
         reader.refuseUnknown();
         parsed.emplace(name, customer);
     }
--- a/src/settings/pool-parser.cc
+++ b/src/settings/pool-parser.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr std::size_t longestModel = 200;
-constexpr std::size_t longestPrefix = 200;
+constexpr std::size_t maxModelNameLength = 200;
+constexpr std::size_t maxPathPrefixLength = 200;
 
 template <typename Value>
 struct Choice
@@ -61,18 +61,18 @@
                     return std::isalnum(letter) != 0
                         || marks.find(static_cast<char>(letter)) != std::string_view::npos;
                 };
-                return text.size() > 1 && text.size() <= longestPrefix && text.front() == '/'
+                return text.size() > 1 && text.size() <= maxPathPrefixLength && text.front() == '/'
                     && text.back() != '/' && text.find("//") == std::string::npos
                     && text.find("/.") == std::string::npos
                     && std::all_of(text.begin(), text.end(), allowed);
             }};
 }
 
-/// Models are names in the paths of the weight store.
+/// Model names are used in paths of the weight store.
 auto isModelName(const std::string &text) -> bool
 {
     static constexpr std::string_view marks = "-._/:@+";
-    return !text.empty() && text.size() <= longestModel && text.front() != '/'
+    return !text.empty() && text.size() <= maxModelNameLength && text.front() != '/'
         && text.find("..") == std::string::npos
         && std::all_of(text.begin(), text.end(), [](unsigned char letter) {
                return std::isalnum(letter) != 0
@@ -80,7 +80,7 @@
            });
 }
 
-/// Whether one of two paths holds the other, whole segments compared.
+/// Returns whether one path equals or contains the other, compared by whole segments.
 auto overlap(const std::string &left, const std::string &right) -> bool
 {
     const auto &shorter = left.size() <= right.size() ? left : right;
@@ -89,7 +89,7 @@
         && (longer.size() == shorter.size() || longer[shorter.size()] == '/');
 }
 
-/// Reads the pools of one team; remembers what may occur once only.
+/// Reads the pools of one team and tracks the values that must be unique within the team.
 class PoolParser
 {
 public:
@@ -116,7 +116,7 @@
     }
 
 private:
-    /// What requests find the pool by: models or a path.
+    /// Reads the keys by which requests are routed to the pool: models or a path prefix.
     auto readRouting(ObjectReader &reader, Pool &pool) -> void
     {
         if (pool.kind == PoolKind::Model) {
@@ -127,7 +127,7 @@
             return;
         }
         reader.text("pathPrefix", Need::Required, prefixRule(), pool.pathPrefix);
-        takePrefix(reader, pool.pathPrefix);
+        addPathPrefix(reader, pool.pathPrefix);
         if (reader.has("models")) {
             reader.refuse("models", "no models for a pool of plain services");
         }
@@ -155,12 +155,13 @@
             return;
         }
         const auto model = value.get<std::string>();
-        takeOnce(models_, model, path, "a model held by one pool only");
+        requireUnique(models_, model, path, "a model held by one pool only");
         pool.models.push_back(model);
     }
 
-    /// Two pools under one path would leave it to chance where a job is booked.
-    auto takePrefix(ObjectReader &reader, const std::string &prefix) -> void
+    /// With overlapping prefixes it would be arbitrary which pool receives a request, such as the
+    /// booking of a job.
+    auto addPathPrefix(ObjectReader &reader, const std::string &prefix) -> void
     {
         if (prefix.empty()) {
             return;
@@ -173,10 +174,10 @@
                 break;
             }
         }
-        for (const auto &[other, where] : prefixes_) {
+        for (const auto &[other, otherPath] : prefixes_) {
             if (overlap(prefix, other)) {
                 report_.add(path, "a path apart from other pools",
-                            describe(prefix) + ", which overlaps " + where);
+                            describe(prefix) + ", which overlaps " + otherPath);
             }
         }
         prefixes_.emplace(prefix, path);
@@ -185,19 +186,19 @@
     static auto readPolicy(ObjectReader &reader, Pool &pool) -> void
     {
         reader.real("loadMultiple", loadMultipleRange, pool.loadMultiple);
-        reader.whole("queueLimit", Need::Optional, {0, mostQueueLimit}, pool.queueLimit);
-        reader.milliseconds("queueWaitMs", {0, mostDeadlineMs}, pool.queueWait);
-        reader.milliseconds("homeWaitMs", {0, mostDeadlineMs}, pool.homeWait);
+        reader.whole("queueLimit", Need::Optional, {0, maxQueueLimit}, pool.queueLimit);
+        reader.milliseconds("queueWaitMs", {0, maxDeadlineMs}, pool.queueWait);
+        reader.milliseconds("homeWaitMs", {0, maxDeadlineMs}, pool.homeWait);
         readChoice(reader, "queueOrder", Need::Optional, queueOrders, pool.queueOrder);
-        reader.milliseconds("defaultDeadlineMs", {1, mostDeadlineMs}, pool.defaultDeadline);
-        reader.milliseconds("maxDeadlineMs", {1, mostDeadlineMs}, pool.maxDeadline);
+        reader.milliseconds("defaultDeadlineMs", {1, maxDeadlineMs}, pool.defaultDeadline);
+        reader.milliseconds("maxDeadlineMs", {1, maxDeadlineMs}, pool.maxDeadline);
         if (pool.defaultDeadline > pool.maxDeadline) {
             reader.refuse("defaultDeadlineMs", "at most maxDeadlineMs");
         }
-        reader.milliseconds("resendWindowMs", {1, mostWindowMs}, pool.resendWindow);
+        reader.milliseconds("resendWindowMs", {1, maxWindowMs}, pool.resendWindow);
         reader.real("retryBudget", retryBudgetRange, pool.retryBudget);
         readChoice(reader, "fencing", Need::Optional, fencings, pool.fencing);
-        reader.whole("rolloutWidth", Need::Optional, {1, mostRolloutWidth}, pool.rolloutWidth);
+        reader.whole("rolloutWidth", Need::Optional, {1, maxRolloutWidth}, pool.rolloutWidth);
         reader.flag("preferOwnDataCenter", pool.preferOwnDataCenter);
     }
 
@@ -215,8 +216,8 @@
             const auto path = joinPath(reader.path("members"), i);
             ObjectReader member(members->at(i), path, report_);
             pool.members.push_back(readMember(member, pool.name));
-            takeOnce(names, pool.members.back().name, member.path("name"),
-                     "a name that no other member of the pool has");
+            requireUnique(names, pool.members.back().name, member.path("name"),
+                          "a name that no other member of the pool has");
         }
     }
 
@@ -225,26 +226,27 @@
         Member member;
         reader.text("name", Need::Required, nameRule(), member.name);
         reader.text("dataCenter", Need::Required, nameRule(), member.dataCenter);
-        reader.whole("slots", Need::Optional, {1, mostSlots}, member.slots);
-        readAddress(reader, "sidecar", streams_, member.sidecar);
-        readAddress(reader, "digest", datagrams_, member.digest);
-        readAddress(reader, "upstream", streams_, member.upstream);
+        reader.whole("slots", Need::Optional, {1, maxSlots}, member.slots);
+        readAddress(reader, "sidecar", tcpAddresses_, member.sidecar);
+        readAddress(reader, "digest", udpAddresses_, member.digest);
+        readAddress(reader, "upstream", tcpAddresses_, member.upstream);
         reader.refuseUnknown();
         member.id = upstreamId(team_, pool, member.name);
         return member;
     }
 
-    /// A second sidecar at one address could never listen there.
+    /// Requires addresses to be unique: a second sidecar could not bind an address in use.
     auto readAddress(ObjectReader &reader, const std::string &key,
                      std::map<std::string, std::string> &taken, Address &into) -> void
     {
         reader.address(key, Need::Required, 1, into);
         const auto text = into.ip.empty() ? "" : into.ip + ':' + std::to_string(into.port);
-        takeOnce(taken, text, reader.path(key), "an address that nothing else in the team has");
+        requireUnique(taken, text, reader.path(key),
+                      "an address that nothing else in the team has");
     }
 
-    auto takeOnce(std::map<std::string, std::string> &taken, const std::string &value,
-                  const std::string &path, const std::string &expected) -> void
+    auto requireUnique(std::map<std::string, std::string> &taken, const std::string &value,
+                       const std::string &path, const std::string &expected) -> void
     {
         if (value.empty()) {
             return;
@@ -257,10 +259,10 @@
 
     std::string team_;
     Report &report_;
-    std::map<std::string, std::string> models_;    ///< Model to its path.
-    std::map<std::string, std::string> prefixes_;  ///< Path prefix to its path.
-    std::map<std::string, std::string> streams_;   ///< TCP address to its path.
-    std::map<std::string, std::string> datagrams_; ///< UDP address to its path.
+    std::map<std::string, std::string> models_;       ///< Model to the path of its key.
+    std::map<std::string, std::string> prefixes_;     ///< Path prefix to the path of its key.
+    std::map<std::string, std::string> tcpAddresses_; ///< TCP address to the path of its key.
+    std::map<std::string, std::string> udpAddresses_; ///< UDP address to the path of its key.
 };
 
 } // namespace
@@ -272,11 +274,11 @@
     const auto rule = nameRule();
     std::map<std::string, Pool> parsed;
     for (const auto &[name, value] : pools.items()) {
-        const auto place = joinPath(path, name);
+        const auto childPath = joinPath(path, name);
         if (!rule.accepts(name)) {
-            report.add(place, rule.expected, describe(name));
+            report.add(childPath, rule.expected, describe(name));
         }
-        parsed.emplace(name, parser.parse(name, value, place));
+        parsed.emplace(name, parser.parse(name, value, childPath));
     }
     return parsed;
 }
--- a/src/settings/process-file.cc
+++ b/src/settings/process-file.cc
@@ -13,8 +13,8 @@
 constexpr std::uint16_t anyPort = 0;
 constexpr std::uint16_t fixedPort = 1;
 
-/// Keys that only one role takes, refused by name for the other: a sidecar started with a router's
-/// file would otherwise come up without the upstream it was meant for.
+/// Keys of one role, which are refused by name for the other: a sidecar started with a router's
+/// file would otherwise start without the upstream it was meant for.
 constexpr std::array routerKeys{"callers"};
 constexpr std::array sidecarKeys{"links", "upstream", "team", "pool", "member", "weights"};
 
@@ -68,7 +68,7 @@
     reader.address("digest", Need::Required, anyPort, file.digest);
 }
 
-/// Two listeners at one address cannot both open it.
+/// Two listeners cannot bind the same address.
 auto refuseSharedListeners(const ProcessFile &file, Report &report) -> void
 {
     const auto &first = file.links.ip.empty() ? file.callers : file.links;
@@ -92,7 +92,7 @@
         readSidecar(reader, file);
     }
     readPeers(reader, report, file.bootstrapPeers);
-    reader.milliseconds("drainDeadlineMs", {0, mostDeadlineMs}, file.drainDeadline);
+    reader.milliseconds("drainDeadlineMs", {0, maxDeadlineMs}, file.drainDeadline);
     reader.refuseUnknown();
     refuseSharedListeners(file, report);
 }
--- a/src/settings/reader.cc
+++ b/src/settings/reader.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr std::size_t longestShown = 60;
-constexpr std::size_t longestName = 100;
+constexpr std::size_t maxDescribedLength = 60;
+constexpr std::size_t maxNameLength = 100;
 
 auto emptyObject() -> const Json &
 {
@@ -21,17 +21,17 @@
 template <typename Number>
 auto rangeText(const std::string &kind, Range<Number> range) -> std::string
 {
-    return kind + " from " + Json(range.least).dump() + " to " + Json(range.most).dump();
+    return kind + " from " + Json(range.min).dump() + " to " + Json(range.max).dump();
 }
 
-/// A run of digits as a number up to `most`; no sign, no leading zero.
-auto parseDigits(std::string_view digits, std::uint32_t most) -> std::optional<std::uint32_t>
+/// Parses decimal digits as a number up to `max`; accepts no sign and no leading zero.
+auto parseDigits(std::string_view digits, std::uint32_t max) -> std::optional<std::uint32_t>
 {
     std::uint32_t number = 0;
     const auto *end = digits.data() + digits.size();
     const auto [stop, failed] = std::from_chars(digits.data(), end, number);
     const auto padded = digits.size() > 1 && digits.front() == '0';
-    if (failed != std::errc() || stop != end || padded || number > most) {
+    if (failed != std::errc() || stop != end || padded || number > max) {
         return std::nullopt;
     }
     return number;
@@ -39,10 +39,10 @@
 
 auto isIpNumber(std::string_view text) -> bool
 {
-    constexpr std::uint32_t mostInByte = 255;
+    constexpr std::uint32_t maxByte = 255;
     for (auto part = 0; part < 4; ++part) {
         const auto dot = part < 3 ? text.find('.') : text.size();
-        if (dot == std::string_view::npos || !parseDigits(text.substr(0, dot), mostInByte)) {
+        if (dot == std::string_view::npos || !parseDigits(text.substr(0, dot), maxByte)) {
             return false;
         }
         text.remove_prefix(std::min(dot + 1, text.size()));
@@ -56,8 +56,8 @@
 {
     constexpr unsigned char firstPrintable = 0x20;
     constexpr unsigned char del = 0x7f;
-    return std::none_of(text.begin(), text.end(), [](unsigned char letter) {
-        return letter < firstPrintable || letter == del;
+    return std::none_of(text.begin(), text.end(), [](unsigned char character) {
+        return character < firstPrintable || character == del;
     });
 }
 
@@ -74,7 +74,7 @@
         break;
     }
     const auto text = value.dump(-1, ' ', true, Json::error_handler_t::replace);
-    return text.size() <= longestShown ? text : text.substr(0, longestShown) + "...";
+    return text.size() <= maxDescribedLength ? text : text.substr(0, maxDescribedLength) + "...";
 }
 
 Report::Report(Locations locations)
@@ -96,7 +96,7 @@
     return sorted;
 }
 
-/// A missing key is located at the object that lacks it.
+/// Returns the line of a key; for a missing key, the line of the object that lacks it.
 auto Report::lineOf(std::string path) const -> std::optional<std::uint32_t>
 {
     while (!path.empty()) {
@@ -122,8 +122,9 @@
     try {
         document.root = Json::parse(text, nullptr, true, true);
     } catch (const Json::exception &error) {
-        const auto *broken = dynamic_cast<const Json::parse_error *>(&error);
-        const auto offset = broken == nullptr || broken->byte == 0 ? 0 : broken->byte - 1;
+        const auto *parseError = dynamic_cast<const Json::parse_error *>(&error);
+        const auto offset =
+            parseError == nullptr || parseError->byte == 0 ? 0 : parseError->byte - 1;
         document.problems.push_back(
             {"", lineAt(text, offset),
              std::string("expected JSON with comments, found ") + error.what()});
@@ -135,10 +136,10 @@
             {"", document.locations.tooDeepLine,
              "expected at most " + std::to_string(maxDepth) + " levels of nesting, found more"});
     }
-    for (const auto &twice : document.locations.duplicates) {
-        document.problems.push_back({twice.path, twice.line,
+    for (const auto &duplicate : document.locations.duplicates) {
+        document.problems.push_back({duplicate.path, duplicate.line,
                                      "expected each key once, found it on line "
-                                         + std::to_string(twice.firstLine) + " already"});
+                                         + std::to_string(duplicate.firstLine) + " already"});
     }
     return document;
 }
@@ -146,23 +147,23 @@
 auto nameRule() -> TextRule
 {
     return {"a name of 1 to 100 letters, digits, '.', '_' or '-'", [](const std::string &text) {
-                return !text.empty() && text.size() <= longestName
-                    && std::all_of(text.begin(), text.end(), [](unsigned char letter) {
-                           return std::isalnum(letter) != 0 || letter == '.' || letter == '_'
-                               || letter == '-';
+                return !text.empty() && text.size() <= maxNameLength
+                    && std::all_of(text.begin(), text.end(), [](unsigned char character) {
+                           return std::isalnum(character) != 0 || character == '.'
+                               || character == '_' || character == '-';
                        });
             }};
 }
 
-auto parseAddress(const std::string &text, std::uint16_t leastPort) -> std::optional<Address>
+auto parseAddress(const std::string &text, std::uint16_t minPort) -> std::optional<Address>
 {
-    constexpr std::uint32_t mostPort = 65535;
+    constexpr std::uint32_t maxPort = 65535;
     const auto colon = text.find(':');
     if (colon == std::string::npos || !isIpNumber(std::string_view(text).substr(0, colon))) {
         return std::nullopt;
     }
-    const auto port = parseDigits(std::string_view(text).substr(colon + 1), mostPort);
-    if (!port || *port < leastPort) {
+    const auto port = parseDigits(std::string_view(text).substr(colon + 1), maxPort);
+    if (!port || *port < minPort) {
         return std::nullopt;
     }
     return Address{text.substr(0, colon), static_cast<std::uint16_t>(*port)};
@@ -209,8 +210,8 @@
     return nullptr;
 }
 
-auto ObjectReader::wrong(const std::string &key, const std::string &expected, const Json &found)
-    -> void
+auto ObjectReader::reportMismatch(const std::string &key, const std::string &expected,
+                                  const Json &found) -> void
 {
     report_.add(path(key), expected, describe(found));
 }
@@ -224,7 +225,7 @@
     }
     if (!found->is_string() || !isPrintable(found->get_ref<const std::string &>())
         || !rule.accepts(found->get_ref<const std::string &>())) {
-        wrong(key, rule.expected, *found);
+        reportMismatch(key, rule.expected, *found);
         return;
     }
     into = found->get<std::string>();
@@ -238,9 +239,9 @@
     if (found == nullptr) {
         return;
     }
-    if (!found->is_number_unsigned() || found->get<std::uint64_t>() < range.least
-        || found->get<std::uint64_t>() > range.most) {
-        wrong(key, expected, *found);
+    if (!found->is_number_unsigned() || found->get<std::uint64_t>() < range.min
+        || found->get<std::uint64_t>() > range.max) {
+        reportMismatch(key, expected, *found);
         return;
     }
     into = found->get<std::uint32_t>();
@@ -253,9 +254,9 @@
     if (found == nullptr) {
         return;
     }
-    if (!found->is_number() || found->get<double>() < range.least
-        || found->get<double>() > range.most) {
-        wrong(key, expected, *found);
+    if (!found->is_number() || found->get<double>() < range.min
+        || found->get<double>() > range.max) {
+        reportMismatch(key, expected, *found);
         return;
     }
     into = found->get<double>();
@@ -277,32 +278,33 @@
         return;
     }
     if (!found->is_boolean()) {
-        wrong(key, "true or false", *found);
+        reportMismatch(key, "true or false", *found);
         return;
     }
     into = found->get<bool>();
 }
 
-auto ObjectReader::address(const std::string &key, Need need, std::uint16_t leastPort,
-                           Address &into) -> void
+auto ObjectReader::address(const std::string &key, Need need, std::uint16_t minPort, Address &into)
+    -> void
 {
     std::string text;
-    const auto accepts = [leastPort](const std::string &value) {
-        return parseAddress(value, leastPort).has_value();
+    const auto accepts = [minPort](const std::string &value) {
+        return parseAddress(value, minPort).has_value();
     };
-    const auto least = std::to_string(leastPort);
+    const auto minPortText = std::to_string(minPort);
     this->text(
         key, need,
-        {"an address such as \"127.0.0.1:8080\" with a port from " + least + " to 65535", accepts},
+        {"an address such as \"127.0.0.1:8080\" with a port from " + minPortText + " to 65535",
+         accepts},
         text);
-    into = parseAddress(text, leastPort).value_or(Address());
+    into = parseAddress(text, minPort).value_or(Address());
 }
 
 auto ObjectReader::object(const std::string &key, Need need) -> const Json *
 {
     const auto *found = find(key, need, "an object");
     if (found != nullptr && !found->is_object()) {
-        wrong(key, "an object", *found);
+        reportMismatch(key, "an object", *found);
         return nullptr;
     }
     return found;
@@ -312,7 +314,7 @@
 {
     const auto *found = find(key, need, "an array");
     if (found != nullptr && !found->is_array()) {
-        wrong(key, "an array", *found);
+        reportMismatch(key, "an array", *found);
         return nullptr;
     }
     return found;
--- a/src/settings/reader.h
+++ b/src/settings/reader.h
@@ -1,4 +1,4 @@
-/// Checked reading of a JSON text, collecting every problem.
+/// Validating reader of JSON texts that collects all problems.
 #pragma once
 
 #include "applehatch/settings/settings.h"
@@ -16,20 +16,20 @@
 
 using Json = nlohmann::json;
 
-/// What was found in place of what a key takes, short enough for one line.
+/// Describes a value for an error message; long values are shortened to fit on one line.
 [[nodiscard]] auto describe(const Json &value) -> std::string;
 
-/// The problems of one text, each with the line of its key.
+/// Collects the problems of one text, each with the line of its key.
 class Report
 {
 public:
     explicit Report(Locations locations);
 
-    /// `expected` and `found` become one sentence.
+    /// Adds a problem with the text "expected `expected`, found `found`".
     auto add(const std::string &path, const std::string &expected, const std::string &found)
         -> void;
 
-    /// All problems in the order of their lines.
+    /// Returns all problems, ordered by line.
     [[nodiscard]] auto problems() const -> std::vector<Problem>;
     [[nodiscard]] auto empty() const -> bool { return problems_.empty(); }
 
@@ -40,7 +40,7 @@
     std::vector<Problem> problems_;
 };
 
-/// A text as JSON with its lines, or the problem that keeps it from being JSON at all.
+/// A parsed JSON text with the lines of its keys, or the problems that prevent its use.
 struct Document
 {
     Json root;
@@ -56,38 +56,38 @@
     Optional,
 };
 
-/// What a text value takes.
+/// Constraint on a string value and its description for error messages.
 struct TextRule
 {
     std::string expected;
     std::function<bool(const std::string &)> accepts;
 };
 
-/// Up to 100 letters, digits, `.`, `_` and `-`, so that names can be joined with slashes.
+/// Accepts 1 to 100 letters, digits, `.`, `_` and `-`, so that names can be joined with slashes.
 [[nodiscard]] auto nameRule() -> TextRule;
 
 template <typename Number>
 struct Range
 {
-    Number least;
-    Number most;
+    Number min;
+    Number max;
 };
 
-/// Reads the keys of one object; what is wrong goes into the report.
+/// Reads the keys of one JSON object and adds problems to a report.
 class ObjectReader
 {
 public:
-    /// A `value` that is no object is reported, and reads as an empty one.
+    /// Reports a `value` that is not an object and treats it as an empty object.
     ObjectReader(const Json &value, std::string path, Report &report);
 
     [[nodiscard]] auto path() const -> const std::string & { return path_; }
     [[nodiscard]] auto path(const std::string &key) const -> std::string;
     [[nodiscard]] auto has(const std::string &key) const -> bool;
 
-    /// False when the value was no object; then nothing of it is worth reporting.
+    /// False when the value is not an object; its missing keys are then not reported.
     [[nodiscard]] auto usable() const -> bool { return usable_; }
 
-    /// Reports without reading; the key counts as known.
+    /// Reports a key without reading it and marks it as known.
     auto refuse(const std::string &key, const std::string &expected) -> void;
 
     auto text(const std::string &key, Need need, const TextRule &rule, std::string &into) -> void;
@@ -96,19 +96,20 @@
     auto real(const std::string &key, Range<double> range, double &into) -> void;
     auto milliseconds(const std::string &key, Range<std::uint32_t> range, Duration &into) -> void;
     auto flag(const std::string &key, bool &into) -> void;
-    auto address(const std::string &key, Need need, std::uint16_t leastPort, Address &into) -> void;
+    auto address(const std::string &key, Need need, std::uint16_t minPort, Address &into) -> void;
 
-    /// The value of a key for the caller to check further; null when absent or of another type.
+    /// Returns the value of a key for further checks; null when absent or of another type.
     [[nodiscard]] auto object(const std::string &key, Need need) -> const Json *;
     [[nodiscard]] auto array(const std::string &key, Need need) -> const Json *;
 
-    /// Reports each key that was never asked for.
+    /// Reports each key that was neither read nor refused.
     auto refuseUnknown() -> void;
 
 private:
     [[nodiscard]] auto find(const std::string &key, Need need, const std::string &expected)
         -> const Json *;
-    auto wrong(const std::string &key, const std::string &expected, const Json &found) -> void;
+    auto reportMismatch(const std::string &key, const std::string &expected, const Json &found)
+        -> void;
 
     const Json &value_;
     std::string path_;
@@ -117,11 +118,11 @@
     std::set<std::string> known_;
 };
 
-/// `ip:port` by IPv4 number; none when it is anything else.
-[[nodiscard]] auto parseAddress(const std::string &text, std::uint16_t leastPort)
+/// Parses `ip:port` with a numeric IPv4 address; returns nothing for any other text.
+[[nodiscard]] auto parseAddress(const std::string &text, std::uint16_t minPort)
     -> std::optional<Address>;
 
-/// True when `text` holds no control character.
+/// Returns whether `text` contains no control characters.
 [[nodiscard]] auto isPrintable(const std::string &text) -> bool;
 
 } // namespace applehatch::settings
--- a/src/telemetry/bounded-output.cc
+++ b/src/telemetry/bounded-output.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A pipe that polls writable takes this much without blocking (POSIX's PIPE_BUF on Linux).
+// A pipe that polls as writable accepts this many bytes without blocking: PIPE_BUF on Linux.
 constexpr std::size_t writeBytes = 4096;
 
 auto isWritable(int descriptor) -> bool
@@ -59,28 +59,28 @@
 auto BoundedOutput::queueLine() -> void
 {
     const auto line = std::exchange(line_, {});
-    if (waiting_.size() + line.size() > capacity_) {
+    if (pending_.size() + line.size() > capacity_) {
         ++dropped_;
-        ++untold_;
+        ++unreportedDrops_;
         return;
     }
-    if (untold_ > 0)
-        waiting_ += "level=warning event=log-dropped lines="
-            + std::to_string(std::exchange(untold_, 0)) + '\n';
-    waiting_ += line;
+    if (unreportedDrops_ > 0)
+        pending_ += "level=warning event=log-dropped lines="
+            + std::to_string(std::exchange(unreportedDrops_, 0)) + '\n';
+    pending_ += line;
 }
 
 auto BoundedOutput::writeAvailable() -> void
 {
     std::size_t done = 0;
-    while (done < waiting_.size() && isWritable(descriptor_)) {
-        const auto size = std::min(writeBytes, waiting_.size() - done);
-        const auto count = write(descriptor_, waiting_.data() + done, size);
+    while (done < pending_.size() && isWritable(descriptor_)) {
+        const auto size = std::min(writeBytes, pending_.size() - done);
+        const auto count = write(descriptor_, pending_.data() + done, size);
         if (count <= 0)
-            break; // Nobody is left to be told; the lines wait and are dropped in the end.
+            break; // A write error cannot be reported; lines stay queued until they are dropped.
         done += static_cast<std::size_t>(count);
     }
-    waiting_.erase(0, done);
+    pending_.erase(0, done);
 }
 
 } // namespace applehatch::telemetry
--- a/src/telemetry/logger.cc
+++ b/src/telemetry/logger.cc
@@ -18,35 +18,36 @@
 namespace {
 
 constexpr const char *loggerId = "applehatch";
-constexpr auto millisecondsEach = std::chrono::milliseconds(std::chrono::seconds(1)).count();
+constexpr auto millisecondsPerSecond = std::chrono::milliseconds(std::chrono::seconds(1)).count();
 
-// UTC, so that lines of hosts in different places compare.
-auto timeText() -> std::string
+// UTC, so that lines from hosts in different time zones are comparable.
+auto formatTime() -> std::string
 {
     using std::chrono::milliseconds;
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     const auto sinceEpoch = std::chrono::duration_cast<milliseconds>(now).count();
-    const auto seconds = static_cast<std::time_t>(sinceEpoch / millisecondsEach);
+    const auto seconds = static_cast<std::time_t>(sinceEpoch / millisecondsPerSecond);
     std::tm parts{};
     gmtime_r(&seconds, &parts);
     std::array<char, sizeof("2026-01-01T00:00:00")> date{};
     std::strftime(date.data(), date.size(), "%Y-%m-%dT%H:%M:%S", &parts);
-    const auto fraction = std::to_string(millisecondsEach + sinceEpoch % millisecondsEach);
+    const auto fraction =
+        std::to_string(millisecondsPerSecond + sinceEpoch % millisecondsPerSecond);
     return std::string(date.data()) + '.' + fraction.substr(1) + 'Z';
 }
 
-auto line(std::string_view level, std::string_view text) -> std::string
+auto formatLine(std::string_view level, std::string_view text) -> std::string
 {
-    auto whole = "time=" + timeText() + " level=";
-    whole.append(level).append(" ").append(text);
-    return whole;
+    auto result = "time=" + formatTime() + " level=";
+    result.append(level).append(" ").append(text);
+    return result;
 }
 
 } // namespace
 
 auto startLog() -> void
 {
-    // Never destroyed: the library may write until the very end of the process.
+    // Never destroyed: the logging library may write until the process exits.
     static auto *const output = new BoundedOutput(STDOUT_FILENO);
     std::cout.rdbuf(output);
     el::Configurations configuration;
@@ -62,13 +63,13 @@
 {
     switch (level) {
     case LogLevel::Info:
-        CLOG(INFO, loggerId) << line("info", text);
+        CLOG(INFO, loggerId) << formatLine("info", text);
         return;
     case LogLevel::Warning:
-        CLOG(WARNING, loggerId) << line("warning", text);
+        CLOG(WARNING, loggerId) << formatLine("warning", text);
         return;
     case LogLevel::Error:
-        CLOG(ERROR, loggerId) << line("error", text);
+        CLOG(ERROR, loggerId) << formatLine("error", text);
         return;
     }
 }
--- a/src/telemetry/metrics.cc
+++ b/src/telemetry/metrics.cc
@@ -39,9 +39,9 @@
 
 auto advanceTo(prometheus::Counter &counter, double total) -> void
 {
-    const auto held = counter.Value();
-    if (total > held)
-        counter.Increment(total - held);
+    const auto current = counter.Value();
+    if (total > current)
+        counter.Increment(total - current);
 }
 
 } // namespace applehatch::telemetry
--- a/src/telemetry/process-metrics.cc
+++ b/src/telemetry/process-metrics.cc
@@ -8,11 +8,12 @@
 
 namespace {
 
-constexpr double microseconds = 1e-6;
+constexpr double secondsPerMicrosecond = 1e-6;
 
 auto seconds(const timeval &time) -> double
 {
-    return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) * microseconds;
+    return static_cast<double>(time.tv_sec)
+        + static_cast<double>(time.tv_usec) * secondsPerMicrosecond;
 }
 
 auto processorSeconds() -> double
--- a/test/admin/api-test.cc
+++ b/test/admin/api-test.cc
@@ -80,7 +80,7 @@
     return test::OpenApi(json::parse(file));
 }
 
-auto concrete(std::string path) -> std::string
+auto fillPathParameters(std::string path) -> std::string
 {
     for (const auto &[name, value] :
          {std::pair{"{team}", "ledgerworks"}, std::pair{"{pool}", "drafting"}}) {
@@ -94,12 +94,12 @@
 
 BOOST_AUTO_TEST_SUITE(admin_api)
 
-BOOST_AUTO_TEST_CASE(every_described_operation_answers_as_described)
+BOOST_AUTO_TEST_CASE(every_operation_answers_as_openapi_describes)
 {
     const auto api = openApi();
     for (const auto &[path, operations] : api.paths().items()) {
         for (const auto &[method, operation] : operations.items()) {
-            Request request = get(concrete(path));
+            Request request = get(fillPathParameters(path));
             request.method = method == "post" ? "POST" : "GET";
             request.body = "{}";
             const auto answer = handle(request, sourceOf());
@@ -109,7 +109,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(upstreams_tell_state_and_why)
+BOOST_AUTO_TEST_CASE(upstreams_report_their_state)
 {
     const auto answer =
         handle(get("/admin/v1/teams/ledgerworks/pools/drafting/upstreams"), sourceOf());
@@ -119,8 +119,8 @@
     BOOST_TEST(upstreams[0]["bound"] == core::loadBound({2, 10, 16}, 8, 1.25));
 }
 
-// One team's operator guesses another team's name and asks for its subtree. Nothing may tell him
-// whether the team exists.
+// An operator guesses the name of another team and requests its subtree. The answer must not reveal
+// whether that team exists.
 BOOST_AUTO_TEST_CASE(access_is_by_token)
 {
     struct Row
@@ -154,7 +154,7 @@
     BOOST_TEST(known.body == unknown.body);
 }
 
-BOOST_AUTO_TEST_CASE(bad_requests_are_told_so)
+BOOST_AUTO_TEST_CASE(bad_requests_get_an_error_status_and_a_kind)
 {
     struct Row
     {
@@ -182,7 +182,7 @@
     }
 }
 
-// A chat name with bytes that are not UTF-8 comes back in the answer and must not end the process.
+// The answer repeats the chat name. Invalid UTF-8 in it must not end the process.
 BOOST_AUTO_TEST_CASE(names_that_are_not_utf8_are_answered)
 {
     const auto answer = handle(
--- a/test/admin/openapi.h
+++ b/test/admin/openapi.h
@@ -5,7 +5,7 @@
 
 namespace applehatch::test {
 
-/// Holds JSON values against the schemas of an OpenAPI document.
+/// Validates JSON values against the schemas of an OpenAPI document.
 class OpenApi
 {
 public:
@@ -13,30 +13,31 @@
         : document_(std::move(document))
     { }
 
-    /// Empty when `value` fits the 200 answer of an operation, else what does not fit.
+    /// Returns the first mismatch between `value` and the schema of an operation's 200 answer;
+    /// empty when `value` is valid.
     [[nodiscard]] auto mismatch(const std::string &path, const std::string &method,
                                 const nlohmann::json &value) const -> std::string
     {
         const auto &operation = document_.at("paths").at(path).at(method);
         const auto &content = operation.at("responses").at("200").at("content");
-        return fits(content.at("application/json").at("schema"), value, "answer");
+        return findMismatch(content.at("application/json").at("schema"), value, "answer");
     }
 
     [[nodiscard]] auto paths() const -> const nlohmann::json & { return document_.at("paths"); }
 
 private:
-    [[nodiscard]] auto fits(const nlohmann::json &schema, const nlohmann::json &value,
-                            const std::string &at) const -> std::string
+    [[nodiscard]] auto findMismatch(const nlohmann::json &schema, const nlohmann::json &value,
+                                    const std::string &at) const -> std::string
     {
         if (schema.contains("$ref"))
-            return fits(resolve(schema["$ref"]), value, at);
+            return findMismatch(resolve(schema["$ref"]), value, at);
         const auto type = schema.value("type", "");
         if (!hasType(type, value))
             return at + " is not of type " + type;
         if (type == "array")
-            return fitsArray(schema, value, at);
+            return findArrayMismatch(schema, value, at);
         if (type == "object")
-            return fitsObject(schema, value, at);
+            return findObjectMismatch(schema, value, at);
         return {};
     }
 
@@ -53,18 +54,18 @@
             || (type == "number" && value.is_number()) || (type == "boolean" && value.is_boolean());
     }
 
-    [[nodiscard]] auto fitsArray(const nlohmann::json &schema, const nlohmann::json &value,
-                                 const std::string &at) const -> std::string
+    [[nodiscard]] auto findArrayMismatch(const nlohmann::json &schema, const nlohmann::json &value,
+                                         const std::string &at) const -> std::string
     {
         for (const auto &item : value) {
-            if (auto wrong = fits(schema.at("items"), item, at + "[]"); !wrong.empty())
-                return wrong;
+            if (auto error = findMismatch(schema.at("items"), item, at + "[]"); !error.empty())
+                return error;
         }
         return {};
     }
 
-    [[nodiscard]] auto fitsObject(const nlohmann::json &schema, const nlohmann::json &value,
-                                  const std::string &at) const -> std::string
+    [[nodiscard]] auto findObjectMismatch(const nlohmann::json &schema, const nlohmann::json &value,
+                                          const std::string &at) const -> std::string
     {
         for (const auto &name : schema.value("required", nlohmann::json::array())) {
             if (!value.contains(name.get<std::string>()))
@@ -76,8 +77,8 @@
             if (!known && !schema.value("additionalProperties", nlohmann::json()).is_object())
                 return at + " has an undescribed " + name;
             const auto &inner = known ? properties[name] : schema.at("additionalProperties");
-            if (auto wrong = fits(inner, item, at + '.' + name); !wrong.empty())
-                return wrong;
+            if (auto error = findMismatch(inner, item, at + '.' + name); !error.empty())
+                return error;
         }
         return {};
     }
--- a/test/settings/check-test.cc
+++ b/test/settings/check-test.cc
@@ -17,7 +17,8 @@
     return text.str();
 }
 
-/// A team with one pool of a member for each of `slots`; the multiple stands in line 2.
+/// Builds a team with one pool that has a member per element of `slots`. `loadMultiple` is on
+/// line 2.
 auto teamOf(const std::vector<std::uint32_t> &slots, const std::string &multiple) -> std::string
 {
     std::string list;
@@ -40,7 +41,7 @@
     return report.text != "accepted\n";
 }
 
-auto same(std::size_t members, std::uint32_t slots) -> std::vector<std::uint32_t>
+auto equalSlots(std::size_t members, std::uint32_t slots) -> std::vector<std::uint32_t>
 {
     return std::vector<std::uint32_t>(members, slots);
 }
@@ -50,9 +51,9 @@
     return (number + divisor - 1) / divisor;
 }
 
-/// Whether each upstream that still has a free slot at its bound has no more than its even share,
-/// rounded up, as its bound; the next request comes on top of half of each upstream's slots.
-/// Counted in hundredths, so that nothing is lost to rounding.
+/// Returns whether the load bound of each upstream that has a free slot at its even share, rounded
+/// up, does not exceed that share when a request arrives while half of each upstream's slots are in
+/// use. Computes in integer hundredths to avoid rounding errors.
 auto boundIsTheEvenShare(const std::vector<std::uint32_t> &slots, std::uint32_t hundredths) -> bool
 {
     const auto all = std::accumulate(slots.begin(), slots.end(), 0U);
@@ -75,32 +76,33 @@
 
 BOOST_AUTO_TEST_SUITE(check)
 
-// A team asks for a bound so near the mean that it holds nothing above the even share. An engine
-// with one request more refuses the next, although it has free slots; chats leave the engine that
-// holds their context and start cold, and nothing says why.
-BOOST_AUTO_TEST_CASE(a_multiple_that_admits_only_an_even_spread_is_warned_of)
+// A load bound so close to the mean that it allows nothing above the even share: an engine with one
+// request more refuses the next although it has free slots. Chats then leave the engine that holds
+// their context and start cold, with no visible reason.
+BOOST_AUTO_TEST_CASE(a_multiple_that_allows_only_an_even_spread_gives_a_warning)
 {
-    // With 72 requests at 18 engines the bound for the next is 5 of 8 slots up to 1.2329.
-    BOOST_TEST(checkSettings(teamOf(same(18, 8), "1.15")).text
+    // With 72 requests on 18 engines, multiples up to 1.2329 bound the next request to 5 of 8
+    // slots.
+    BOOST_TEST(checkSettings(teamOf(equalSlots(18, 8), "1.15")).text
                == "2: pools.p.loadMultiple: warning: expected at least 1.24, as otherwise, with "
                   "half the slots in use, each upstream that holds its even share, rounded up, "
                   "refuses the next request, found 1.15\naccepted\n");
-    BOOST_TEST(warns(same(18, 8), "1.23"));
-    BOOST_TEST(!warns(same(18, 8), "1.24"));
-    BOOST_TEST(warns(same(18, 8), "1.0"));
-    // With 4 requests at 2 engines the bound for the next is 3 of 4 slots up to 1.2.
-    BOOST_TEST(warns(same(2, 4), "1.2"));
-    BOOST_TEST(!warns(same(2, 4), "1.21"));
-    BOOST_TEST(!warns(same(12, 16), "1.15"));
+    BOOST_TEST(warns(equalSlots(18, 8), "1.23"));
+    BOOST_TEST(!warns(equalSlots(18, 8), "1.24"));
+    BOOST_TEST(warns(equalSlots(18, 8), "1.0"));
+    // With 4 requests on 2 engines, multiples up to 1.2 bound the next request to 3 of 4 slots.
+    BOOST_TEST(warns(equalSlots(2, 4), "1.2"));
+    BOOST_TEST(!warns(equalSlots(2, 4), "1.21"));
+    BOOST_TEST(!warns(equalSlots(12, 16), "1.15"));
 }
 
-BOOST_AUTO_TEST_CASE(the_warning_agrees_with_the_bound_counted_out)
+BOOST_AUTO_TEST_CASE(the_warning_agrees_with_the_computed_bound)
 {
     std::vector<std::vector<std::uint32_t>> pools{
         {4, 8}, {1, 9}, {3, 3, 16}, {1, 1, 2}, {32, 8, 8}};
     for (const auto members : {2U, 3U, 7U, 18U}) {
         for (const auto slots : {1U, 2U, 3U, 4U, 5U, 8U, 16U})
-            pools.push_back(same(members, slots));
+            pools.push_back(equalSlots(members, slots));
     }
     for (const auto &pool : pools) {
         for (auto hundredths = 100U; hundredths < 200; hundredths += 3) {
@@ -111,11 +113,11 @@
     }
 }
 
-// 1.16 times 100 is less than 116 in binary. A team told to set at least 1.16 where 1.16 stands
-// would not know what to do.
-BOOST_AUTO_TEST_CASE(the_multiple_that_is_named_is_not_warned_of)
+// In binary floating point 1.16 * 100 is less than 116. Without care the warning would ask a team
+// that already has 1.16 for at least 1.16.
+BOOST_AUTO_TEST_CASE(the_suggested_multiple_gives_no_warning)
 {
-    const auto named = [](const std::string &text) {
+    const auto suggestedMultiple = [](const std::string &text) {
         const std::string before = "at least ";
         const auto at = text.find(before);
         BOOST_REQUIRE(at != std::string::npos);
@@ -123,20 +125,20 @@
     };
     for (auto members = 2U; members <= 40; ++members) {
         for (auto slots = 3U; slots <= 32; ++slots) {
-            const auto pool = same(members, slots);
-            const auto multiple = named(checkSettings(teamOf(pool, "1.0")).text);
+            const auto pool = equalSlots(members, slots);
+            const auto multiple = suggestedMultiple(checkSettings(teamOf(pool, "1.0")).text);
             BOOST_TEST(!warns(pool, multiple), members << " of " << slots << ", " << multiple);
         }
     }
 }
 
-// A lone upstream has the whole load as its share, and one of two slots is full with one request
-// more than half: neither refuses while it has a free slot.
-BOOST_AUTO_TEST_CASE(a_pool_that_fills_its_slots_anyway_is_not_warned_of)
+// The share of a single upstream is the whole load, and an upstream with two slots is full with one
+// request more than half: neither refuses a request while it has a free slot.
+BOOST_AUTO_TEST_CASE(a_pool_whose_bounds_fill_all_slots_gives_no_warning)
 {
-    BOOST_TEST(!warns(same(1, 8), "1.0"));
-    BOOST_TEST(!warns(same(18, 1), "1.0"));
-    BOOST_TEST(!warns(same(18, 2), "1.0"));
+    BOOST_TEST(!warns(equalSlots(1, 8), "1.0"));
+    BOOST_TEST(!warns(equalSlots(18, 1), "1.0"));
+    BOOST_TEST(!warns(equalSlots(18, 2), "1.0"));
 }
 
 BOOST_AUTO_TEST_CASE(the_warnings_of_the_examples_are_those_they_state)
--- a/test/settings/parse-test.cc
+++ b/test/settings/parse-test.cc
@@ -12,7 +12,7 @@
 
 using namespace applehatch::settings;
 
-// Line 1 opens the object; each row replaces one text of this subtree.
+// Valid subtree; each row of the tests replaces one part of it. Line 1 opens the object.
 const std::string valid = R"({
   "pools": {
     // "commented": {"kind": "}{"},
@@ -61,7 +61,7 @@
     std::string to;
     std::string path;
     std::uint32_t line;
-    std::string told; ///< Part of what is told.
+    std::string message; ///< Expected part of the message.
 };
 
 auto replaced(std::string text, const Row &row) -> std::string
@@ -78,8 +78,8 @@
         BOOST_REQUIRE_EQUAL(problems.size(), 1U);
         BOOST_TEST(problems[0].path == row.path);
         BOOST_TEST(problems[0].line.value_or(0) == row.line);
-        BOOST_TEST(problems[0].expected.find(row.told) != std::string::npos,
-                   problems[0].expected << " lacks " << row.told);
+        BOOST_TEST(problems[0].expected.find(row.message) != std::string::npos,
+                   problems[0].expected << " lacks " << row.message);
     }
 }
 
@@ -112,15 +112,15 @@
     BOOST_TEST(result.team->customers.at("branch").weight == 1.0);
 }
 
-// Operators mistype. A key that is passed over in silence leaves its default in force: the limit
-// that was to protect an engine is not there, and nobody is told until the engine is buried.
-BOOST_AUTO_TEST_CASE(each_mistake_is_told_with_its_path_and_line)
+// A mistyped key that is silently ignored leaves its default in force: the limit meant to protect
+// an engine is missing, and nobody notices until the engine is overloaded.
+BOOST_AUTO_TEST_CASE(each_mistake_is_reported_with_its_path_and_line)
 {
     const std::string drafting = "pools.drafting";
     const std::string first = "pools.drafting.members[0]";
     const std::string second = "pools.drafting.members[1]";
     const std::vector<Row> rows{
-        // The text as a whole.
+        // Errors of the whole text.
         {valid, "", "", 1, "JSON with comments"},
         {valid, "[]", "", 1, "an object, found an array"},
         {R"("adminTokenHash": "")", R"("adminTokenHash": ")", "", 31, "JSON with comments"},
@@ -185,7 +185,7 @@
         {R"("weight": 1.0)", R"("weight": 0)", "customers.branch.weight", 29, "0.001"},
         {R"("adminTokenHash": "")", R"("adminTokenHash": "ABC")", "adminTokenHash", 31,
          "64 lower-case hex digits"},
-        // What goes with which kind.
+        // Keys that depend on the kind of pool.
         {R"("models": ["writer"],)", "", drafting + ".models", 4, "an array, found nothing"},
         {R"("rolloutWidth": 1)", R"("pathPrefix": "/x")", drafting + ".pathPrefix", 9,
          "no pathPrefix"},
@@ -199,7 +199,7 @@
          "a path of"},
         {R"("pathPrefix": "/jobs")", R"("pathPrefix": "/v1")", "pools.jobs.pathPrefix", 21,
          "the router's own"},
-        // Members, and what may occur once only.
+        // Members and values that must be unique.
         {R"("name": "e2")", R"("name": "e1")", second + ".name", 15, "members[0].name already"},
         {R"("name": "e2")", R"("name": "e/2")", second + ".name", 15, "a name of 1 to 100"},
         {R"("name": "e2")", R"("name": "e\n2")", second + ".name", 15, R"(found "e\n2")"},
@@ -224,8 +224,8 @@
     }
 }
 
-// With two pools for one model, or one path inside another, which of them gets a request would
-// depend on the order in a table, and a job might be booked by the wrong service.
+// If two pools served the same model or had overlapping path prefixes, the order of a table would
+// decide which of them receives a request, and the wrong service might book a job.
 BOOST_AUTO_TEST_CASE(pools_must_not_compete_for_requests)
 {
     const auto pool = [](const std::string &name, const std::string &how, int host) {
@@ -244,7 +244,7 @@
     {
         std::string first;
         std::string second;
-        std::string path; ///< Empty when both go together.
+        std::string path; ///< Path of the problem; empty when both pools are accepted.
     };
     const std::vector<Pair> pairs{
         {at("/jobs"), at("/jobs"), "pools.b.pathPrefix"},
@@ -271,7 +271,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(all_problems_are_told_at_once_in_order)
+BOOST_AUTO_TEST_CASE(all_problems_are_reported_at_once_ordered_by_line)
 {
     auto text = replaced(valid, {R"("kind": "model")", R"("kind": 7)", "", 0, ""});
     text = replaced(text, {R"("weight": 1.0)", R"("weight": -1)", "", 0, ""});
@@ -286,7 +286,7 @@
     BOOST_TEST(checkSettings(valid).exitCode == 0);
 }
 
-BOOST_AUTO_TEST_CASE(texts_beyond_the_size_limit_and_odd_team_names_are_refused)
+BOOST_AUTO_TEST_CASE(oversized_texts_and_invalid_team_names_are_refused)
 {
     const auto large = valid + std::string(1000001 - valid.size(), ' ');
     BOOST_TEST(parseTeam("t", large, 1).problems.size() == 1U);
@@ -297,8 +297,8 @@
     }
 }
 
-// The text comes from a store that others write. A megabyte of brackets or a cut file must be
-// refused; a crash would take down every process of the fleet at the same moment.
+// The text comes from a store that other systems write. A megabyte of brackets or a truncated file
+// must be refused; a crash would take down all processes of the fleet at the same moment.
 BOOST_AUTO_TEST_CASE(damaged_texts_never_crash_the_parser)
 {
     const std::string brackets(500000, '[');
@@ -345,7 +345,7 @@
     for (const auto &row : rows) {
         auto problems = parseProcessFile(replaced(validSidecar, row), Role::Sidecar).problems;
         if (row.path == "callers") {
-            BOOST_REQUIRE_EQUAL(problems.size(), 2U); // The missing upstream as well.
+            BOOST_REQUIRE_EQUAL(problems.size(), 2U); // The missing `upstream` is also reported.
             problems.erase(problems.begin() + (problems[0].path == "upstream" ? 0 : 1));
         }
         checkRow(row, problems);
--- a/test/telemetry/bounded-output-test.cc
+++ b/test/telemetry/bounded-output-test.cc
@@ -15,14 +15,14 @@
 
 using namespace applehatch::telemetry;
 
-/// A pipe whose reader reads only when told to.
+/// A pipe that is read only on request.
 class Pipe
 {
 public:
     Pipe()
     {
         if (pipe(ends_.data()) != 0)
-            throw std::runtime_error("no pipe");
+            throw std::runtime_error("cannot create a pipe");
         fcntl(ends_[0], F_SETFL, O_NONBLOCK);
     }
 
@@ -64,9 +64,10 @@
     BOOST_TEST(pipe.readAll() == "one 1\ntwo\n");
 }
 
-// The reader of a process's log hangs. The process goes on at full speed, keeps what fits, and says
-// how many lines are missing when the reader is back. A write that waited would stop every request.
-BOOST_AUTO_TEST_CASE(a_reader_that_stops_holds_nobody_up)
+// The reader of a process's log hangs. A blocking write would stop every request. The process must
+// continue at full speed, keep the lines that fit, and report the number of dropped lines when the
+// reader is back.
+BOOST_AUTO_TEST_CASE(a_stalled_reader_does_not_block_the_writer)
 {
     Pipe pipe;
     constexpr std::size_t capacity = 65536;
@@ -77,10 +78,11 @@
     const auto begin = std::chrono::steady_clock::now();
     for (int i = 0; i < lines; ++i)
         stream << line << '\n' << std::flush;
-    const auto each = (std::chrono::steady_clock::now() - begin) / lines;
+    const auto timePerLine = (std::chrono::steady_clock::now() - begin) / lines;
     using Microseconds = std::chrono::duration<double, std::micro>;
-    BOOST_TEST_MESSAGE("a line while nobody reads: " << Microseconds(each).count() << " us");
-    BOOST_TEST((each < std::chrono::microseconds(100)));
+    BOOST_TEST_MESSAGE("time per line with a stalled reader: " << Microseconds(timePerLine).count()
+                                                               << " us");
+    BOOST_TEST((timePerLine < std::chrono::microseconds(100)));
     BOOST_TEST(output.dropped() > lines / 2);
     std::string text = pipe.readAll();
     for (int i = 0; i < 100; ++i) {
@@ -92,8 +94,8 @@
     BOOST_TEST(text.ends_with("later\n"));
 }
 
-// Nobody reads any more at all. The process is not ended by it.
-BOOST_AUTO_TEST_CASE(a_closed_reader_is_survived)
+// The reader closes the pipe. Writing to it must not end the process.
+BOOST_AUTO_TEST_CASE(a_closed_reader_does_not_end_the_process)
 {
     signal(SIGPIPE, SIG_IGN);
     std::array<int, 2> ends{};
--- a/test/telemetry/telemetry-test.cc
+++ b/test/telemetry/telemetry-test.cc
@@ -25,15 +25,15 @@
     BOOST_TEST(std::regex_match(captured.str(), lines), captured.str());
 }
 
-BOOST_AUTO_TEST_CASE(a_scrape_brings_values_up_to_date)
+BOOST_AUTO_TEST_CASE(a_scrape_updates_all_values)
 {
     Metrics metrics;
     addProcessMetrics(metrics);
     auto &total = metrics.counter({"a_total", "help"}, {{"kind", "x"}});
-    double kept = 7;
-    metrics.onScrape([&] { advanceTo(total, kept); });
+    double sourceTotal = 7;
+    metrics.onScrape([&] { advanceTo(total, sourceTotal); });
     BOOST_TEST(metrics.scrape().find("a_total{kind=\"x\"} 7") != std::string::npos);
-    kept = 5; // A total never goes back: rates over it would turn negative.
+    sourceTotal = 5; // A counter must never decrease: rates over it would become negative.
     const auto text = metrics.scrape();
     BOOST_TEST(text.find("a_total{kind=\"x\"} 7") != std::string::npos, text);
     for (const auto *name : {"process_cpu_seconds_total ", "process_resident_memory_bytes "})
