--- a/test/core/identity-test.cc
+++ b/test/core/identity-test.cc
@@ -6,8 +6,8 @@
 
 BOOST_AUTO_TEST_SUITE(identity)
 
-// A sidecar remembers refused attempts by a hash of request and attempt number. Two that collide
-// make it call a request that runs "not run", and its caller sends it again.
+// A sidecar records refused attempts by a hash of the request id and the attempt number. If two
+// hashes collide, it reports a running request as "not run", and the caller sends it again.
 BOOST_AUTO_TEST_CASE(short_inputs_under_small_seeds_do_not_collide)
 {
     std::set<std::uint64_t> hashes;
--- a/test/core/load-table-test.cc
+++ b/test/core/load-table-test.cc
@@ -28,8 +28,8 @@
 
 BOOST_AUTO_TEST_SUITE(load_table)
 
-// Digests travel by gossip, so an old entry often arrives after a newer one. Were it taken, an
-// upstream would look idle again and requests would pile onto it.
+// Digests spread by gossip, so an old entry often arrives after a newer one. If it replaced the
+// newer one, a busy upstream would look idle and get too many requests.
 BOOST_AUTO_TEST_CASE(older_entries_never_replace_newer_ones)
 {
     struct Row
@@ -51,7 +51,7 @@
     }
 }
 
-// A sidecar that dies stops sending. Its last entry must not hold the mean up for ever.
+// A sidecar that dies stops sending. Its last entry must not raise the mean load forever.
 BOOST_AUTO_TEST_CASE(entries_expire)
 {
     LoadTable table(10s);
--- a/test/core/placement-test.cc
+++ b/test/core/placement-test.cc
@@ -11,7 +11,7 @@
 using namespace applehatch::core::test;
 using applehatch::settings::PoolKind;
 
-auto patient(Pool pool) -> Pool
+auto withOwnerWait(Pool pool) -> Pool
 {
     pool.homeWait = std::chrono::seconds(1);
     return pool;
@@ -19,7 +19,7 @@
 
 struct Fleet
 {
-    Pool pool = patient(makePool("drafting", PoolKind::Model, 24));
+    Pool pool = withOwnerWait(makePool("drafting", PoolKind::Model, 24));
     LoadTable loads;
     Random random{5};
 
@@ -36,11 +36,17 @@
         loads.apply({{id, 1, ++version, running, 0, 8, UpstreamState::Serving, 0us}}, start);
     }
 
-    [[nodiscard]] auto view(ChatKey chat, std::vector<UpstreamId> usable, UpstreamId home = 0) const
-        -> PlacementView
+    [[nodiscard]] auto view(ChatKey chat, std::vector<UpstreamId> usable,
+                            UpstreamId owner = 0) const -> PlacementView
     {
-        return {
-            pool, loads, chat, home, std::move(usable), "bole", start, loads.poolLoad(pool, start)};
+        return {pool,
+                loads,
+                chat,
+                owner,
+                std::move(usable),
+                "bole",
+                start,
+                loads.poolLoad(pool, start)};
     }
 
     std::uint32_t version = 0;
@@ -52,18 +58,18 @@
 
 BOOST_AUTO_TEST_SUITE(placement)
 
-// An upstream that flaps drops out of the lists of some routers for seconds. Were other chats to
-// move with it, each flap would cost contexts all over the pool.
+// A flapping upstream disappears from the lists of some routers for seconds. If chats of other
+// upstreams moved too, each flap would lose contexts across the whole pool.
 BOOST_AUTO_TEST_CASE(a_flapping_member_moves_only_its_own_chats)
 {
     Fleet fleet;
     const auto all = fleet.ids();
-    auto less = all;
-    less.erase(less.begin() + 3);
+    auto remaining = all;
+    remaining.erase(remaining.begin() + 3);
     std::uint32_t moved = 0;
     for (std::uint64_t chat = 1; chat <= chats; ++chat) {
         const auto before = placeByContext(fleet.view(chat, all), fleet.random).front();
-        const auto during = placeByContext(fleet.view(chat, less), fleet.random).front();
+        const auto during = placeByContext(fleet.view(chat, remaining), fleet.random).front();
         if (before == all[3])
             ++moved;
         else
@@ -101,35 +107,35 @@
     }
 }
 
-// What was heard of a home's load is a second old. A chat that leaves for a small excess pays for
-// its whole context again; one that insists on a buried home only collects refusals.
-BOOST_AUTO_TEST_CASE(a_chat_leaves_its_home_only_when_that_is_clearly_over)
+// The known load of a chat's owner is up to a second old. A chat that moves for a small excess has
+// to rebuild its whole context; one that stays with an overloaded owner only gets refusals.
+BOOST_AUTO_TEST_CASE(a_chat_leaves_its_owner_only_when_that_is_well_over_its_bound)
 {
     struct Row
     {
-        std::uint32_t homeLoad;
+        std::uint32_t ownerLoad;
         bool stays;
     };
     for (const auto viaToken : {false, true}) {
-        // Where the token says that the context is, a chat may wait for room.
+        // At the upstream that its token names as holding the context, a chat may wait for a slot.
         for (const auto &row :
              {Row{4, true}, Row{6, true}, Row{7, true}, Row{9, viaToken}, Row{40, false}}) {
             Fleet fleet;
             const auto all = fleet.ids();
             for (const auto id : all)
                 fleet.load(id, 4);
-            const auto home = viaToken ? all[5] : chatHome(fleet.pool, 9, "bole");
-            fleet.load(home, row.homeLoad);
-            const auto view = fleet.view(9, all, viaToken ? home : 0);
+            const auto owner = viaToken ? all[5] : chatHome(fleet.pool, 9, "bole");
+            fleet.load(owner, row.ownerLoad);
+            const auto view = fleet.view(9, all, viaToken ? owner : 0);
             const auto order = placeByContext(view, fleet.random);
-            BOOST_TEST((order.front() == home) == row.stays);
-            BOOST_TEST(isClearlyOver(view, home) == !row.stays);
+            BOOST_TEST((order.front() == owner) == row.stays);
+            BOOST_TEST(isClearlyOver(view, owner) == !row.stays);
             BOOST_TEST(std::set<UpstreamId>(order.begin(), order.end()).size() == order.size());
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(without_a_chat_the_lesser_loaded_of_two_takes_it)
+BOOST_AUTO_TEST_CASE(without_a_chat_the_less_loaded_of_two_is_chosen)
 {
     Fleet fleet;
     const std::vector<UpstreamId> two{fleet.pool.members[0].id, fleet.pool.members[1].id};
@@ -137,11 +143,11 @@
     fleet.load(two[1], 2);
     for (auto round = 0; round < 20; ++round)
         BOOST_TEST(placeByContext(fleet.view(0, two), fleet.random).front() == two[1]);
-    // A token without a chat still leads to the context.
+    // A token without a chat key still routes to the upstream that holds the context.
     BOOST_TEST(placeByContext(fleet.view(0, two, two[0]), fleet.random).front() == two[0]);
 }
 
-BOOST_AUTO_TEST_CASE(every_hook_gives_usable_members_once_and_the_bounded_ones_pass_over_the_full)
+BOOST_AUTO_TEST_CASE(every_hook_returns_usable_members_once_and_bounded_ones_rank_full_last)
 {
     Fleet fleet;
     const auto all = fleet.ids();
--- a/test/core/rendezvous-test.cc
+++ b/test/core/rendezvous-test.cc
@@ -12,20 +12,21 @@
 
 auto members(const std::vector<std::pair<UpstreamId, std::uint32_t>> &list)
 {
-    std::vector<applehatch::settings::Member> made;
+    std::vector<applehatch::settings::Member> result;
     for (const auto &[id, slots] : list) {
-        made.emplace_back();
-        made.back().id = id;
-        made.back().slots = slots;
+        result.emplace_back();
+        result.back().id = id;
+        result.back().slots = slots;
     }
-    return made;
+    return result;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(rendezvous)
 
-// A member leaves the list. Chats of the others must not move, or their contexts are lost.
+// When a member is removed, the chats of the other members must not move, or they lose their
+// contexts.
 BOOST_AUTO_TEST_CASE(removing_a_member_moves_only_its_keys)
 {
     const auto before = members({{1, 8}, {2, 8}, {3, 16}});
--- a/test/core/wait-queue-test.cc
+++ b/test/core/wait-queue-test.cc
@@ -48,8 +48,9 @@
     }
 }
 
-// One customer surges. The others' few requests must not wait behind its many.
-BOOST_AUTO_TEST_CASE(surging_customer_waits_behind_itself)
+// One customer sends a surge of requests. The few requests of other customers must not wait behind
+// them.
+BOOST_AUTO_TEST_CASE(surging_customer_waits_behind_its_own_requests)
 {
     WaitQueue queue;
     for (std::uint64_t id = 0; id < 40; ++id)
