--- a/test/core/load-plane-test.cc
+++ b/test/core/load-plane-test.cc
@@ -273,8 +273,8 @@
     BOOST_TEST(reply.entries.at(1).upstream == sidecar.id(1));
 }
 
-// A sidecar that picked itself as the gossip target would send nothing in that second, which in a
-// pool of three would be every third second.
+// A sidecar that picked itself as the gossip target would send nothing in that second: one second
+// in three, in a pool of three.
 BOOST_AUTO_TEST_CASE(a_digest_goes_to_another_member_every_second)
 {
     Sidecar sidecar(poolOf(3, 4));
--- a/test/core/router-fixture.h
+++ b/test/core/router-fixture.h
@@ -1,4 +1,4 @@
-/// Test fixture: a router node with a pool of engines and two service pools, in virtual time.
+/// Test fixture: a router node with a pool of three engines and two service pools, in virtual time.
 #pragma once
 
 #include "applehatch/core/router-node.h"
--- a/test/core/router-links-test.cc
+++ b/test/core/router-links-test.cc
@@ -130,8 +130,7 @@
 // The router's host was frozen together with its clock, so the deadlines that it computes for a
 // sidecar are too early. Requests with their full time left would be refused as late until the
 // router reads the sidecar's clock again, so it requests that at once.
-BOOST_AUTO_TEST_CASE(
-    a_refusal_that_its_own_clock_contradicts_makes_the_router_read_the_sidecars_clock)
+BOOST_AUTO_TEST_CASE(a_refusal_its_own_clock_contradicts_makes_the_router_read_the_sidecars_clock)
 {
     for (const auto early : {true, false}) {
         Bench bench;
