--- a/test/core/error-test.cc
+++ b/test/core/error-test.cc
@@ -26,8 +26,8 @@
     }
 }
 
-// A request that may have run is tried at a second upstream and runs twice. The table must never
-// allow that for the kinds that leave the outcome open.
+// Retrying a request that may already have run would run it twice. The table must not allow a retry
+// at another upstream for the kinds that leave the outcome open.
 BOOST_AUTO_TEST_CASE(open_outcomes_are_never_retried_elsewhere)
 {
     for (const auto kind :
--- a/test/core/expiring-map-test.cc
+++ b/test/core/expiring-map-test.cc
@@ -6,8 +6,8 @@
 
 BOOST_AUTO_TEST_SUITE(expiring_map)
 
-// A sidecar keeps pointers and tombstones of 100,000 chats and attempts. Going through all of them
-// at once holds its lock for tens of milliseconds, each second: every stream stutters.
+// A sidecar keeps pointers and tombstones of 100,000 chats and attempts. Expiring all of them in
+// one tick would hold its lock for tens of milliseconds every second and make every stream stutter.
 BOOST_AUTO_TEST_CASE(one_tick_visits_a_bounded_part_of_a_large_table)
 {
     constexpr std::size_t chats = 20000;
@@ -15,15 +15,16 @@
     for (std::size_t chat = 1; chat <= chats; ++chat)
         sidecar.from(Moved{stableHash(std::to_string(chat)), sidecar.id(1)});
     BOOST_REQUIRE(sidecar.node().counts().pointers == chats);
-    sidecar.now += 7h; // Longer than a pointer lives.
+    sidecar.now += 7h; // Longer than the lifetime of a pointer.
     sidecar.give(Tick{});
     BOOST_TEST(sidecar.node().counts().pointers >= chats / 2);
     sidecar.pass(10s);
     BOOST_TEST(sidecar.node().counts().pointers == 0U);
 }
 
-// What has expired but was not visited yet must not be given out: a tombstone would refuse a new
-// attempt, and a pointer send a chat to where its context no longer is.
+// An expired entry that the sweep has not reached yet must not be returned: an expired tombstone
+// would refuse a new attempt, and an expired pointer would send a chat to an engine that no longer
+// holds its context.
 BOOST_AUTO_TEST_CASE(an_unvisited_expired_value_is_not_found)
 {
     constexpr std::size_t values = 1000;
--- a/test/core/listening-clock-test.cc
+++ b/test/core/listening-clock-test.cc
@@ -6,9 +6,9 @@
 
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_SUITE(listening_clock)
+BOOST_AUTO_TEST_SUITE(stall_aware_clock)
 
-BOOST_AUTO_TEST_CASE(it_goes_with_the_time_while_looks_are_frequent)
+BOOST_AUTO_TEST_CASE(it_advances_with_time_while_polls_are_frequent)
 {
     ListeningClock clock;
     const Instant start{10s};
@@ -19,8 +19,8 @@
     BOOST_TEST((clock.at(start + 5100ms) == start + 5100ms));
 }
 
-// Guards against time in which nobody could be heard counting as others' silence.
-BOOST_AUTO_TEST_CASE(it_stands_still_while_nothing_is_looked_at)
+// Guards against counting time in which this process received nothing as silence of its peers.
+BOOST_AUTO_TEST_CASE(it_stops_during_a_long_gap_between_polls)
 {
     ListeningClock clock;
     const Instant start{10s};
@@ -32,8 +32,9 @@
     BOOST_TEST((clock.at(start + 1h + 50ms) == start + ListeningClock::longestStep + 50ms));
 }
 
-// Guards against two threads that read the time in one order and ask in the other.
-BOOST_AUTO_TEST_CASE(it_never_goes_back)
+// Guards against two threads that read the system time in one order and query this clock in the
+// other.
+BOOST_AUTO_TEST_CASE(it_never_goes_backwards)
 {
     ListeningClock clock;
     const Instant start{10s};
--- a/test/core/log-line-test.cc
+++ b/test/core/log-line-test.cc
@@ -6,8 +6,8 @@
 
 BOOST_AUTO_TEST_SUITE(log_line)
 
-// A caller puts a newline and a forged event into a header that is logged. An operator who greps
-// the log must still see one line for it.
+// A caller puts a newline and a forged event into a header that is logged. The value must be
+// escaped, so that the log still holds one line for it.
 BOOST_AUTO_TEST_CASE(values_cannot_forge_a_line)
 {
     const auto line = LogLine("route").add("chat", "a\nevent=drained reason=\"x\"").text();
--- a/test/core/token-test.cc
+++ b/test/core/token-test.cc
@@ -11,15 +11,15 @@
 
 BOOST_AUTO_TEST_SUITE(token)
 
-BOOST_AUTO_TEST_CASE(tokens_read_back_as_written)
+BOOST_AUTO_TEST_CASE(tokens_round_trip)
 {
     const Ticket ticket{{7, 9}, "tai/jobs", 42, Instant{5s}};
-    const auto ticketBack = parseTicket(formatTicket(ticket));
-    BOOST_REQUIRE(ticketBack.has_value());
-    BOOST_TEST(ticketBack->pool == "tai/jobs");
-    BOOST_TEST(ticketBack->nonce == 42U);
-    BOOST_TEST((ticketBack->life == ticket.life));
-    BOOST_TEST((ticketBack->expires == ticket.expires));
+    const auto parsedTicket = parseTicket(formatTicket(ticket));
+    BOOST_REQUIRE(parsedTicket.has_value());
+    BOOST_TEST(parsedTicket->pool == "tai/jobs");
+    BOOST_TEST(parsedTicket->nonce == 42U);
+    BOOST_TEST((parsedTicket->life == ticket.life));
+    BOOST_TEST((parsedTicket->expires == ticket.expires));
 
     const auto position = parsePosition(formatPosition({7, "r1.x", 4096}));
     BOOST_REQUIRE(position.has_value());
@@ -27,8 +27,8 @@
     BOOST_TEST(position->offset == 4096U);
 }
 
-// Tokens come back from callers, who may cut or change them.
-BOOST_AUTO_TEST_CASE(garbage_is_refused)
+// Tokens come back from callers, who may truncate or alter them.
+BOOST_AUTO_TEST_CASE(malformed_tokens_are_refused)
 {
     for (const auto *text : {"", ".", "zz.1", "1", "1.2.3.4.", "ffffffffffffffffff.1", "1. 2"}) {
         BOOST_TEST(!parseContext(text).has_value(), text);
