--- a/test/core/settings-crossing-test.cc
+++ b/test/core/settings-crossing-test.cc
@@ -23,7 +23,7 @@
 
 const std::string bad = R"({"pools": 7})";
 
-/// What one operator does: an empty text takes the team out.
+/// A change published by one operator. An empty text removes the team.
 struct Publication
 {
     std::string team;
@@ -38,7 +38,7 @@
 
 using Teams = std::map<std::string, SettingsIndex>;
 
-/// The service's tree after the publications up to `index`.
+/// Contents of the configuration service after all publications up to `index`.
 auto treeAt(const std::vector<Publication> &all, SettingsIndex index) -> SettingsRead
 {
     std::map<std::string, SettingsText> teams;
@@ -91,11 +91,11 @@
 
 BOOST_AUTO_TEST_SUITE(settings_crossing)
 
-// Two operators publish in the same second, and what each did reaches a process through its reader
-// and through peers, in any order. Were the later one lost, or the earlier one put back, customers
-// would meet different limits at different routers; and one operator's mistake must cost the
-// other's team nothing.
-BOOST_AUTO_TEST_CASE(two_operators_at_once_end_alike_in_whatever_order_it_arrives)
+// Two operators publish in the same second, and each change reaches a process through its reader
+// and through peers, in any order. If the later change were lost or the earlier one restored,
+// customers would meet different limits at different routers. One operator's mistake must not
+// affect the other's team.
+BOOST_AUTO_TEST_CASE(concurrent_publications_converge_in_any_arrival_order)
 {
     struct Row
     {
@@ -129,28 +129,28 @@
         };
         std::vector<std::size_t> order(events.size());
         std::iota(order.begin(), order.end(), 0U);
-        std::size_t crossed = 0;
+        std::size_t reorderings = 0;
         do {
             auto replica = startedWith(start);
-            auto held = inForce(*replica);
+            auto previous = inForce(*replica);
             auto newerSeen = false;
-            std::string told;
+            std::string delivered;
             for (const auto number : order) {
-                told += ' ' + std::to_string(number);
+                delivered += ' ' + std::to_string(number);
                 (void)replica->handle(events[number], Instant{} + 11s);
                 newerSeen = newerSeen || number == 2 || number == 4;
-                crossed += newerSeen && (number == 1 || number == 3) ? 1 : 0;
+                reorderings += newerSeen && (number == 1 || number == 3) ? 1 : 0;
                 const auto now = inForce(*replica);
                 for (const auto &[team, index] : now) {
-                    BOOST_TEST(index >= held[team], row.name << ", order" << told);
+                    BOOST_TEST(index >= previous[team], row.name << ", order" << delivered);
                 }
                 for (const auto &[team, index] : now) {
-                    held[team] = index;
+                    previous[team] = index;
                 }
             }
-            BOOST_TEST((inForce(*replica) == row.after), row.name << ", order" << told);
+            BOOST_TEST((inForce(*replica) == row.after), row.name << ", order" << delivered);
         } while (std::next_permutation(order.begin(), order.end()));
-        BOOST_TEST(crossed > 0U);
+        BOOST_TEST(reorderings > 0U);
     }
 }
 
--- a/test/core/settings-fleet.h
+++ b/test/core/settings-fleet.h
@@ -1,4 +1,5 @@
-/// Many settings replicas in virtual time, with a configuration service, digests and lossy peers.
+/// Many settings replicas in virtual time, with a configuration service, digests and lossy links
+/// between peers.
 #pragma once
 
 #include "applehatch/core/settings-replica.h"
@@ -13,7 +14,8 @@
 
 namespace applehatch::core::testing {
 
-/// A team with `members` spread over `dataCenters`, its text told apart by `queueLimit`.
+/// Returns a team's text with `members` members spread over `dataCenters`. `queueLimit` makes the
+/// texts distinguishable.
 inline auto teamText(const std::vector<std::string> &dataCenters, std::size_t members,
                      std::size_t queueLimit) -> std::string
 {
@@ -34,10 +36,10 @@
     std::size_t sidecars = 0;
     std::size_t routers = 0;
     std::vector<std::string> dataCenters;
-    double digestLoss = 0.0; ///< Of datagrams, each way.
-    double pullLoss = 0.0;   ///< Of pulls over connections, each way.
+    double digestLoss = 0.0; ///< Fraction of lost datagrams, in each direction.
+    double pullLoss = 0.0;   ///< Fraction of lost pulls over connections, in each direction.
     std::uint64_t seed = 1;
-    bool sendersNamed = false; ///< Hosts tell which sidecar a digest came from.
+    bool digestsNameSender = false; ///< Receivers know which sidecar sent a digest.
 };
 
 class Fleet
@@ -48,7 +50,7 @@
         , random_(options_.seed)
     { }
 
-    // The service.
+    // Configuration service.
 
     auto put(std::size_t queueLimit) -> void
     {
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Data centres that cannot reach the service.
+    /// Sets the data centres that cannot reach the service.
     auto cutOff(std::set<std::string> dataCenters) -> void
     {
         cutOff_ = std::move(dataCenters);
@@ -72,16 +74,16 @@
         watchers_.clear();
         for (const auto &watcher : waiting) {
             if (isCutOff(watcher.node)) {
-                deliver(watcher.node, oneWay, SettingsReadFailed{});
+                deliver(watcher.node, oneWayDelay, SettingsReadFailed{});
             } else {
                 watchers_.push_back(watcher);
             }
         }
     }
 
-    // Time.
+    // Virtual time.
 
-    /// Starts every process at a random moment within `spread`.
+    /// Starts each process at a random time within `spread`.
     auto startAll(Duration spread) -> void
     {
         const auto count = options_.sidecars + options_.routers;
@@ -104,9 +106,10 @@
         now_ = until;
     }
 
-    // Measures.
+    // Statistics.
 
-    /// Time from the last put to in force at each process that has it, in order.
+    /// Returns the times from the last put until each process had it in force, sorted ascending.
+    /// Processes that do not have it yet are left out.
     [[nodiscard]] auto delays() const -> std::vector<Duration>
     {
         std::vector<Duration> delays;
@@ -120,28 +123,28 @@
     [[nodiscard]] auto size() const -> std::size_t { return nodes_.size(); }
     [[nodiscard]] auto calls() const -> std::size_t { return callTimes_.size(); }
     [[nodiscard]] auto pulls() const -> std::size_t { return pulls_; }
-    [[nodiscard]] auto fallen() const -> std::size_t { return fallen_; }
+    [[nodiscard]] auto regressions() const -> std::size_t { return regressions_; }
     [[nodiscard]] auto watching() const -> std::size_t { return watchers_.size(); }
 
-    /// Calls to the service within the worst second.
-    [[nodiscard]] auto worstSecond() const -> std::size_t
+    /// Returns the maximum number of calls to the service within one second.
+    [[nodiscard]] auto peakCallsPerSecond() const -> std::size_t
     {
-        std::size_t worst = 0;
+        std::size_t peak = 0;
         std::size_t first = 0;
         for (std::size_t last = 0; last < callTimes_.size(); ++last) {
             while (callTimes_[last] - callTimes_[first] >= std::chrono::seconds(1)) {
                 ++first;
             }
-            worst = std::max(worst, last - first + 1);
+            peak = std::max(peak, last - first + 1);
         }
-        return worst;
+        return peak;
     }
 
 private:
-    static constexpr Duration oneWay = std::chrono::milliseconds(3);
-    static constexpr Duration tickPeriod = std::chrono::milliseconds(100);
-    static constexpr Duration digestPeriod = std::chrono::seconds(1);
-    static constexpr Duration watchWait = std::chrono::seconds(60);
+    static constexpr Duration oneWayDelay = std::chrono::milliseconds(3);
+    static constexpr Duration tickInterval = std::chrono::milliseconds(100);
+    static constexpr Duration digestInterval = std::chrono::seconds(1);
+    static constexpr Duration watchTimeout = std::chrono::seconds(60);
 
     struct Event
     {
@@ -207,10 +210,10 @@
         byId_[idOf(node)] = node;
         started.replica = std::make_unique<SettingsReplica>(identity);
         tick(node);
-        at(now_ + Duration(random_() % digestPeriod.count()), [this, node] { gossip(node); });
+        at(now_ + Duration(random_() % digestInterval.count()), [this, node] { gossip(node); });
     }
 
-    /// All processes parse the same texts; once is enough here.
+    /// Parses each text once for all processes, as they all parse the same texts.
     auto parse(const std::string &team, const std::string &text, SettingsIndex index)
         -> settings::ParseResult
     {
@@ -224,26 +227,26 @@
     auto tick(std::size_t node) -> void
     {
         handle(node, SettingsTick{});
-        at(now_ + tickPeriod, [this, node] { tick(node); });
+        at(now_ + tickInterval, [this, node] { tick(node); });
     }
 
-    /// A digest exchange with one random sidecar: both learn the other's index.
+    /// Exchanges digests with one random sidecar, so that each learns the other's index.
     auto gossip(std::size_t node) -> void
     {
-        at(now_ + digestPeriod, [this, node] { gossip(node); });
+        at(now_ + digestInterval, [this, node] { gossip(node); });
         const auto peer = random_() % options_.sidecars;
         if (peer == node || nodes_[peer].replica == nullptr || lost(options_.digestLoss)) {
             return;
         }
-        deliver(peer, oneWay, heardFrom(node));
+        deliver(peer, oneWayDelay, advertisementOf(node));
         if (!lost(options_.digestLoss)) {
-            deliver(node, 2 * oneWay, heardFrom(peer));
+            deliver(node, 2 * oneWayDelay, advertisementOf(peer));
         }
     }
 
-    auto heardFrom(std::size_t node) const -> SettingsIndexHeard
+    auto advertisementOf(std::size_t node) const -> SettingsIndexHeard
     {
-        const auto from = options_.sendersNamed ? idOf(node) : 0;
+        const auto from = options_.digestsNameSender ? idOf(node) : 0;
         return {nodes_[node].replica->current()->index, from};
     }
 
@@ -252,8 +255,8 @@
         at(now_ + after, [this, node, event = std::move(event)] { handle(node, event); });
     }
 
-    /// `asker` is the process whose pull is handled.
-    auto handle(std::size_t node, const SettingsEvent &event, std::size_t asker = 0) -> void
+    /// `requester` is the process whose pull is handled.
+    auto handle(std::size_t node, const SettingsEvent &event, std::size_t requester = 0) -> void
     {
         for (auto &action : nodes_[node].replica->handle(event, now_)) {
             if (const auto *read = std::get_if<ReadService>(&action)) {
@@ -261,18 +264,18 @@
             } else if (const auto *pull = std::get_if<PullFromPeer>(&action)) {
                 carryPull(node, *pull);
             } else if (const auto *answer = std::get_if<AnswerPull>(&action)) {
-                carryAnswer(asker, answer->reply);
+                carryAnswer(requester, answer->reply);
             } else if (const auto *force = std::get_if<PutInForce>(&action)) {
-                note(node, *force->settings);
+                recordInForce(node, *force->settings);
             }
         }
     }
 
-    auto note(std::size_t node, const settings::Settings &settings) -> void
+    auto recordInForce(std::size_t node, const settings::Settings &settings) -> void
     {
         const auto team = settings.teams.find("team");
         const auto index = team == settings.teams.end() ? 0 : team->second->index;
-        fallen_ += index < nodes_[node].inForce ? 1 : 0;
+        regressions_ += index < nodes_[node].inForce ? 1 : 0;
         nodes_[node].inForce = index;
         if (index == index_) {
             reached_.emplace(node, now_);
@@ -283,11 +286,11 @@
     {
         callTimes_.push_back(now_);
         if (isCutOff(node)) {
-            deliver(node, oneWay, SettingsReadFailed{});
+            deliver(node, oneWayDelay, SettingsReadFailed{});
         } else if (read.waitFor && index_ <= *read.waitFor) {
             const auto call = ++order_;
             watchers_.push_back({node, call});
-            at(now_ + watchWait, [this, node, call] { expire(node, call); });
+            at(now_ + watchTimeout, [this, node, call] { expire(node, call); });
         } else {
             answerRead(node, 0);
         }
@@ -309,7 +312,7 @@
         if (text_ != nullptr) {
             read.texts.push_back({"team", index_, text_});
         }
-        deliver(node, oneWay, read);
+        deliver(node, oneWayDelay, read);
     }
 
     auto carryPull(std::size_t node, const PullFromPeer &pull) -> void
@@ -320,14 +323,14 @@
             || lost(options_.pullLoss)) {
             return;
         }
-        at(now_ + oneWay,
-           [this, node, from = peer->second, asked = pull.pull] { handle(from, asked, node); });
+        at(now_ + oneWayDelay,
+           [this, node, from = peer->second, request = pull.pull] { handle(from, request, node); });
     }
 
-    auto carryAnswer(std::size_t asker, const SettingsReply &reply) -> void
+    auto carryAnswer(std::size_t requester, const SettingsReply &reply) -> void
     {
         if (!lost(options_.pullLoss)) {
-            deliver(asker, oneWay, reply);
+            deliver(requester, oneWayDelay, reply);
         }
     }
 
@@ -347,7 +350,7 @@
     std::vector<Instant> callTimes_;
     std::map<SettingsIndex, settings::ParseResult> parsed_;
     std::size_t pulls_ = 0;
-    std::size_t fallen_ = 0;
+    std::size_t regressions_ = 0;
 };
 
 } // namespace applehatch::core::testing
--- a/test/core/settings-replica-fleet-test.cc
+++ b/test/core/settings-replica-fleet-test.cc
@@ -8,8 +8,8 @@
 using namespace std::chrono_literals;
 using testing::Fleet;
 
-constexpr Duration inForceEverywhere = 18s;
-constexpr std::size_t callsPerSecond = 2000;
+constexpr Duration maxPropagationTime = 18s;
+constexpr std::size_t maxCallsPerSecond = 2000;
 const std::vector<std::string> sevenDataCenters{"dc-1", "dc-2", "dc-3", "dc-4",
                                                 "dc-5", "dc-6", "dc-7"};
 
@@ -22,9 +22,9 @@
 
 BOOST_AUTO_TEST_SUITE(settings_replica_fleet)
 
-// After a power cut, or with a service that returns from an outage, every process wants the
-// settings in the same second. The service takes 2,000 calls a second; beyond that nobody would be
-// answered, and no router would become ready.
+// After a power cut, or when the service returns from an outage, every process requests the
+// settings in the same second. The service takes 2,000 calls a second; above that rate nobody would
+// be answered and no router would become ready.
 BOOST_AUTO_TEST_CASE(a_mass_restart_stays_within_the_calls_the_service_takes)
 {
     struct Row
@@ -51,19 +51,19 @@
             BOOST_REQUIRE(delays.size() == fleet.size());
             BOOST_TEST_MESSAGE("mass restart of "
                                << fleet.size() << ", " << row.name << ": worst second "
-                               << fleet.worstSecond() << " calls, all " << fleet.calls()
+                               << fleet.peakCallsPerSecond() << " calls, all " << fleet.calls()
                                << " calls, last in force after "
                                << inSeconds(delays.back() - row.downFor) << " s, watches held "
                                << fleet.watching());
-            BOOST_TEST(fleet.worstSecond() < callsPerSecond);
-            BOOST_TEST((delays.back() - row.downFor) < inForceEverywhere);
+            BOOST_TEST(fleet.peakCallsPerSecond() < maxCallsPerSecond);
+            BOOST_TEST((delays.back() - row.downFor) < maxPropagationTime);
         }
     }
 }
 
-// An operator lowers a limit; a process that misses the change goes on with the old one, and the
-// customer sees answers differ by router. Digests get lost, and part of the fleet cannot reach the
-// service.
+// An operator lowers a limit. A process that misses the change keeps the old limit, and the
+// customer sees answers that differ by router. Digests are lost, and part of the fleet cannot reach
+// the service.
 BOOST_AUTO_TEST_CASE(changes_are_in_force_everywhere_in_time)
 {
     struct Row
@@ -91,7 +91,7 @@
          two,
          3},
     };
-    constexpr Duration betweenChanges = 43s; // 2,000 a day.
+    constexpr Duration changeInterval = 43s; // 2,000 changes a day.
     for (const auto &row : rows) {
         BOOST_TEST_CONTEXT(row.name)
         {
@@ -105,7 +105,7 @@
             std::vector<Duration> all;
             for (auto change = 0; change < row.changes; ++change) {
                 fleet.put(2 + static_cast<std::size_t>(change));
-                fleet.runFor(betweenChanges);
+                fleet.runFor(changeInterval);
                 const auto delays = fleet.delays();
                 BOOST_REQUIRE(delays.size() == fleet.size());
                 all.insert(all.end(), delays.begin(), delays.end());
@@ -118,8 +118,8 @@
                                << " s for 99 in 100, " << inSeconds(all.back()) << " s for all; "
                                << fleet.calls() - callsBefore << " service calls, " << fleet.pulls()
                                << " pulls");
-            BOOST_TEST(all.back() < inForceEverywhere);
-            BOOST_TEST(fleet.fallen() == 0U);
+            BOOST_TEST(all.back() < maxPropagationTime);
+            BOOST_TEST(fleet.regressions() == 0U);
         }
     }
 }
--- a/test/core/settings-replica-test.cc
+++ b/test/core/settings-replica-test.cc
@@ -45,10 +45,10 @@
                       [](const auto &action) { return std::holds_alternative<Action>(action); }));
 }
 
-/// A replica with its own time.
-struct Bench
+/// A settings replica with its own virtual time.
+struct ReplicaFixture
 {
-    explicit Bench(UpstreamId self = 0, std::vector<UpstreamId> peers = {})
+    explicit ReplicaFixture(UpstreamId self = 0, std::vector<UpstreamId> peers = {})
         : replica(identityOf(self, std::move(peers)))
     { }
 
@@ -67,7 +67,7 @@
         return replica.handle(std::move(event), now);
     }
 
-    /// Ticks for `time` and gives all actions.
+    /// Ticks for `time` and returns all actions.
     auto pass(Duration time) -> std::vector<SettingsAction>
     {
         std::vector<SettingsAction> all;
@@ -80,7 +80,7 @@
         return all;
     }
 
-    /// In force with what a first read gave.
+    /// Starts the replica with `read` as its first read, until its settings are in force.
     auto start(SettingsRead read) -> void
     {
         pass(1s);
@@ -88,8 +88,8 @@
         pass(10s);
     }
 
-    /// What a process that started alone asks for.
-    auto hearTwoPeers(SettingsIndex index) -> void
+    /// Delivers two empty peer replies, which a process that started without peers asks for.
+    auto receiveTwoReplies(SettingsIndex index) -> void
     {
         give(SettingsReply{index, {}});
         give(SettingsReply{index, {}});
@@ -109,17 +109,17 @@
 
 BOOST_AUTO_TEST_SUITE(settings_replica)
 
-// Reads and peers' answers arrive in any order: from a replica of the service that lags, from a
-// service set back to a backup, from a peer that slept. Were an older one taken, a limit that an
-// operator lowered would jump back and a removed member would get requests again.
-BOOST_AUTO_TEST_CASE(what_is_in_force_never_falls)
+// Reads and peer replies arrive in any order: from a lagging replica of the service, from a service
+// restored from a backup, from a peer that was stalled. If an older one were applied, a limit that
+// an operator lowered would jump back and a removed member would receive requests again.
+BOOST_AUTO_TEST_CASE(settings_in_force_never_go_back)
 {
     const auto newer = text("t", 50, good(1));
     struct Row
     {
         const char *name;
         SettingsEvent event;
-        SettingsIndex after; ///< Of team `t`, 50 before; 0 when removed.
+        SettingsIndex after; ///< Index of team `t`, 50 before the event; 0 when removed.
     };
     const std::vector<Row> rows{
         {"same read again", SettingsRead{60, {newer}}, 50},
@@ -145,43 +145,43 @@
     for (const auto &row : rows) {
         BOOST_TEST_CONTEXT(row.name)
         {
-            Bench bench;
-            bench.start({60, {newer}});
-            BOOST_REQUIRE(bench.inForce("t") == 50U);
-            const auto actions = bench.give(row.event);
-            BOOST_TEST(bench.inForce("t") == row.after);
-            const auto changed = row.after != 50 || bench.replica.current()->index != 60;
+            ReplicaFixture fixture;
+            fixture.start({60, {newer}});
+            BOOST_REQUIRE(fixture.inForce("t") == 50U);
+            const auto actions = fixture.give(row.event);
+            BOOST_TEST(fixture.inForce("t") == row.after);
+            const auto changed = row.after != 50 || fixture.replica.current()->index != 60;
             BOOST_TEST(countOf<PutInForce>(actions) == (changed ? 1U : 0U));
         }
     }
 }
 
-// The answer that tells of a removal may be overtaken by one from before it. Were the team to come
-// back, its customers would be served by upstreams that are gone.
+// A read that removes a team may be followed by an older one that still has it. If the team came
+// back, its customers would be served by upstreams that no longer exist.
 BOOST_AUTO_TEST_CASE(a_removed_team_comes_back_only_by_a_newer_text)
 {
-    Bench bench;
-    bench.start({60, {text("t", 50, good(1)), text("u", 20, good(1))}});
-    bench.give(SettingsRead{70, {text("u", 20, good(1))}});
-    BOOST_TEST(bench.inForce("t") == 0U);
-    bench.give(SettingsRead{60, {text("t", 50, good(1))}});
-    bench.give(SettingsReply{65, {text("t", 50, good(1))}});
-    BOOST_TEST(bench.inForce("t") == 0U);
-    const auto answer = bench.give(SettingsPull{{{"t", 50}, {"u", 20}}, false});
+    ReplicaFixture fixture;
+    fixture.start({60, {text("t", 50, good(1)), text("u", 20, good(1))}});
+    fixture.give(SettingsRead{70, {text("u", 20, good(1))}});
+    BOOST_TEST(fixture.inForce("t") == 0U);
+    fixture.give(SettingsRead{60, {text("t", 50, good(1))}});
+    fixture.give(SettingsReply{65, {text("t", 50, good(1))}});
+    BOOST_TEST(fixture.inForce("t") == 0U);
+    const auto answer = fixture.give(SettingsPull{{{"t", 50}, {"u", 20}}, false});
     const auto &reply = std::get<AnswerPull>(answer.front()).reply;
     BOOST_REQUIRE(reply.texts.size() == 1U);
     BOOST_TEST(reply.texts[0].index == 70U);
     BOOST_TEST((reply.texts[0].text == nullptr));
-    bench.give(SettingsRead{71, {text("t", 71, good(2)), text("u", 20, good(1))}});
-    BOOST_TEST(bench.inForce("t") == 71U);
+    fixture.give(SettingsRead{71, {text("t", 71, good(2)), text("u", 20, good(1))}});
+    BOOST_TEST(fixture.inForce("t") == 71U);
 }
 
-// An operator publishes a text with a mistake. Processes that run keep the last accepted one; one
-// that starts now finds only the mistake at the service, and without its peers it would serve
-// nobody of that team.
+// An operator publishes a text with a mistake. Running processes keep the last accepted text. A
+// process that starts now finds only the faulty text at the service; without its peers it would
+// serve nobody of that team.
 BOOST_AUTO_TEST_CASE(a_refused_text_leaves_the_accepted_one_in_force_everywhere)
 {
-    Bench old;
+    ReplicaFixture old;
     old.start({60, {text("t", 50, good(1))}});
     old.give(SettingsRead{70, {text("t", 70, bad)}});
     BOOST_TEST(old.inForce("t") == 50U);
@@ -192,7 +192,7 @@
     BOOST_REQUIRE(status[0].problems.size() == 1U);
     BOOST_TEST(status[0].problems[0].path == "pools");
 
-    Bench newcomer;
+    ReplicaFixture newcomer;
     newcomer.pass(1s);
     newcomer.give(SettingsRead{70, {text("t", 70, bad)}});
     const auto actions = newcomer.pass(3s);
@@ -211,51 +211,51 @@
     BOOST_TEST(newcomer.replica.status()[0].refused == 0U);
 }
 
-// A process starts while the service lags. Were it to serve at once, its callers would meet
-// settings that the rest of the fleet left behind long ago.
-BOOST_AUTO_TEST_CASE(a_starting_process_hears_its_peers_before_it_serves)
+// A process starts while the service lags. If it served at once, its callers would meet settings
+// that the rest of the fleet replaced long ago.
+BOOST_AUTO_TEST_CASE(a_starting_process_asks_its_peers_before_it_serves)
 {
-    Bench bench(0, {7, 8});
-    const auto first = bench.pass(500ms);
+    ReplicaFixture fixture(0, {7, 8});
+    const auto first = fixture.pass(500ms);
     BOOST_TEST(countOf<PullFromPeer>(first) > 0U);
-    BOOST_TEST(countOf<PutInForce>(bench.give(SettingsRead{40, {text("t", 40, good(1))}})) == 0U);
-    BOOST_TEST(countOf<PutInForce>(bench.give(SettingsReply{})) == 0U);
-    const auto answered = bench.give(SettingsReply{60, {text("t", 50, good(2))}});
+    BOOST_TEST(countOf<PutInForce>(fixture.give(SettingsRead{40, {text("t", 40, good(1))}})) == 0U);
+    BOOST_TEST(countOf<PutInForce>(fixture.give(SettingsReply{})) == 0U);
+    const auto answered = fixture.give(SettingsReply{60, {text("t", 50, good(2))}});
     BOOST_TEST(countOf<PutInForce>(answered) == 1U);
-    BOOST_TEST(bench.inForce("t") == 50U);
+    BOOST_TEST(fixture.inForce("t") == 50U);
 
-    Bench alone(0, {7, 8});
+    ReplicaFixture alone(0, {7, 8});
     alone.pass(500ms);
     alone.give(SettingsRead{40, {text("t", 40, good(1))}});
     BOOST_TEST(countOf<PutInForce>(alone.pass(1s)) == 0U);
     BOOST_TEST(countOf<PutInForce>(alone.pass(1s)) == 1U);
     BOOST_TEST(alone.inForce("t") == 40U);
 
-    Bench starting;
+    ReplicaFixture starting;
     const auto answer = starting.give(SettingsPull{});
     BOOST_TEST(std::get<AnswerPull>(answer.front()).reply.index == 0U);
 }
 
-// Two changes are made at once, and each reaches a process on another way: one through its reader,
-// one through a peer. Each must come into force, in whichever order they arrive.
-BOOST_AUTO_TEST_CASE(crossing_changes_both_come_into_force)
+// Two changes are made at the same time and reach a process in different ways: one through its
+// reader, one through a peer. Each must come into force, whichever arrives first.
+BOOST_AUTO_TEST_CASE(concurrent_changes_both_come_into_force)
 {
     const SettingsRead start{10, {text("t", 9, good(1)), text("u", 10, good(1))}};
     const SettingsRead read{12, {text("t", 11, good(2)), text("u", 12, good(2))}};
     const SettingsReply reply{13, {text("t", 13, good(3))}};
     for (const auto readFirst : {true, false}) {
-        Bench bench;
-        bench.start(start);
-        bench.give(readFirst ? SettingsEvent(read) : SettingsEvent(reply));
-        bench.give(readFirst ? SettingsEvent(reply) : SettingsEvent(read));
-        BOOST_TEST(bench.inForce("t") == 13U);
-        BOOST_TEST(bench.inForce("u") == 12U);
+        ReplicaFixture fixture;
+        fixture.start(start);
+        fixture.give(readFirst ? SettingsEvent(read) : SettingsEvent(reply));
+        fixture.give(readFirst ? SettingsEvent(reply) : SettingsEvent(read));
+        BOOST_TEST(fixture.inForce("t") == 13U);
+        BOOST_TEST(fixture.inForce("u") == 12U);
     }
 }
 
-// If every process watched the service, it would be over its rate for good; if none did, changes
-// would arrive nowhere. The host list lags, and hosts leave.
-BOOST_AUTO_TEST_CASE(two_live_sidecars_of_a_data_centre_hold_the_watch)
+// If every process watched the service, its rate limit would be exceeded permanently; if none did,
+// changes would reach nobody. The host list lags, and hosts leave.
+BOOST_AUTO_TEST_CASE(two_live_sidecars_per_data_centre_watch_the_service)
 {
     struct Row
     {
@@ -293,11 +293,11 @@
         {
             std::size_t watching = 0;
             for (const auto *name : {"e1", "e2", "e3", "e4", "e5"}) {
-                Bench bench(idOf(name));
-                bench.give(HostListRead{{1, row.hosts}});
-                bench.start({10, {text("t", 9, good(1, row.membersIn))}});
-                bench.give(SettingsRead{11, {text("t", 11, good(2, row.membersIn))}});
-                for (const auto &action : bench.pass(5s)) {
+                ReplicaFixture fixture(idOf(name));
+                fixture.give(HostListRead{{1, row.hosts}});
+                fixture.start({10, {text("t", 9, good(1, row.membersIn))}});
+                fixture.give(SettingsRead{11, {text("t", 11, good(2, row.membersIn))}});
+                for (const auto &action : fixture.pass(5s)) {
                     const auto *read = std::get_if<ReadService>(&action);
                     watching += read != nullptr && read->waitFor == 11 ? 1 : 0;
                 }
@@ -307,26 +307,27 @@
     }
 }
 
-// Peers fall silent in a partition, and the service may lag or be down as well. Each process then
-// asks on its own; calls without an end to them would hit the service when it can bear least.
-BOOST_AUTO_TEST_CASE(calls_are_bounded_whatever_does_not_answer)
+// Peers are silent in a partition, and the service may lag or be down as well. Each process then
+// calls the service on its own; unbounded calls would hit the service when it can bear the least
+// load.
+BOOST_AUTO_TEST_CASE(calls_are_bounded_when_service_or_peers_do_not_answer)
 {
     struct Row
     {
         const char *name;
         UpstreamId self;
-        std::optional<SettingsEvent> answer; ///< To each call of the service; none is silence.
-        SettingsIndex heard;
-        std::size_t least;
-        std::size_t most; ///< Calls within ten minutes.
+        std::optional<SettingsEvent> answer; ///< Reply to each service call; none if silent.
+        SettingsIndex advertised;
+        std::size_t minCalls;
+        std::size_t maxCalls; ///< Within ten minutes.
     };
     const SettingsRead old{10, {text("t", 9, good(1))}};
     const auto reader = [] {
         for (const auto *name : {"e1", "e2", "e3", "e4", "e5"}) {
-            Bench bench(idOf(name));
-            bench.start({10, {text("t", 9, good(1))}});
-            bench.give(SettingsRead{11, {text("t", 11, good(1))}});
-            if (countOf<ReadService>(bench.pass(2s)) > 0) {
+            ReplicaFixture fixture(idOf(name));
+            fixture.start({10, {text("t", 9, good(1))}});
+            fixture.give(SettingsRead{11, {text("t", 11, good(1))}});
+            if (countOf<ReadService>(fixture.pass(2s)) > 0) {
                 return idOf(name);
             }
         }
@@ -343,67 +344,67 @@
     for (const auto &row : rows) {
         BOOST_TEST_CONTEXT(row.name)
         {
-            Bench bench(row.self);
-            bench.start(old);
+            ReplicaFixture fixture(row.self);
+            fixture.start(old);
             if (row.answer) {
-                bench.give(*row.answer); // To the watch that began while starting.
+                fixture.give(*row.answer); // Answers the watch that began during the start.
             }
             std::size_t calls = 0;
             std::size_t pulls = 0;
             for (auto tick = 0; tick < 12000; ++tick) {
-                bench.now += 50ms;
-                const auto event = tick % 2 == 0 ? SettingsEvent(SettingsIndexHeard{row.heard})
+                fixture.now += 50ms;
+                const auto event = tick % 2 == 0 ? SettingsEvent(SettingsIndexHeard{row.advertised})
                                                  : SettingsEvent(SettingsTick{});
-                for (const auto &action : bench.give(event)) {
+                for (const auto &action : fixture.give(event)) {
                     pulls += std::holds_alternative<PullFromPeer>(action) ? 1 : 0;
                     if (std::holds_alternative<ReadService>(action)) {
                         ++calls;
                         if (row.answer) {
-                            bench.give(*row.answer);
+                            fixture.give(*row.answer);
                         }
                     }
                 }
             }
             BOOST_TEST_MESSAGE(row.name << ": " << calls << " calls, " << pulls
                                         << " pulls in ten minutes");
-            BOOST_TEST(calls >= row.least);
-            BOOST_TEST(calls <= row.most);
+            BOOST_TEST(calls >= row.minCalls);
+            BOOST_TEST(calls <= row.maxCalls);
             BOOST_TEST(pulls < 400U);
         }
     }
 }
 
-// A wrong index is heard, perhaps from a damaged process. Looking for it must not hide the next
-// true change.
+// An advertised index does not exist, perhaps because the sending process is damaged. The search
+// for it must not hide the next real change.
 BOOST_AUTO_TEST_CASE(a_false_index_does_not_hide_a_true_one)
 {
-    Bench bench;
-    bench.start({10, {text("t", 9, good(1))}});
-    bench.give(SettingsIndexHeard{1000000});
-    bench.pass(30s);
-    bench.give(SettingsIndexHeard{11, 77});
-    const auto actions = bench.pass(1s);
+    ReplicaFixture fixture;
+    fixture.start({10, {text("t", 9, good(1))}});
+    fixture.give(SettingsIndexHeard{1000000});
+    fixture.pass(30s);
+    fixture.give(SettingsIndexHeard{11, 77});
+    const auto actions = fixture.pass(1s);
     const auto asked = std::find_if(actions.begin(), actions.end(), [](const auto &action) {
         return std::holds_alternative<PullFromPeer>(action);
     });
     BOOST_REQUIRE((asked != actions.end()));
     BOOST_TEST(std::get<PullFromPeer>(*asked).peer == 77U);
-    bench.give(SettingsReply{11, {text("t", 11, good(2))}});
-    BOOST_TEST(bench.inForce("t") == 11U);
+    fixture.give(SettingsReply{11, {text("t", 11, good(2))}});
+    BOOST_TEST(fixture.inForce("t") == 11U);
 }
 
-// A team's text may be a megabyte. An answer without a cap would block the link for all other
+// A team's text may be a megabyte. A reply without a size limit would block the link for all other
 // messages of that peer.
-BOOST_AUTO_TEST_CASE(a_large_answer_comes_in_parts_until_all_is_held)
+BOOST_AUTO_TEST_CASE(a_large_answer_is_split_into_parts)
 {
     const auto padding = std::string(900000, ' ');
     SettingsRead read{20, {}};
     for (auto i = 0; i < 6; ++i) {
         read.texts.push_back(text("t" + std::to_string(i), 10U + i, good(1) + padding));
     }
-    Bench from;
+    ReplicaFixture from;
     from.start(read);
-    Bench to;
+    ReplicaFixture to;
     auto parts = 0;
     std::vector<SettingsAction> actions = to.pass(300ms);
     while (to.replica.current()->teams.size() < 6U && parts < 10) {
@@ -421,9 +422,9 @@
     BOOST_TEST(to.replica.current()->index == 20U);
 }
 
-// A peer told of an index without one of its texts, so that two processes at the same index hold
-// different sets; a customer would meet the old limit at one of them for good. With a hash that
-// happens to be equal on both sides only the rare list can tell.
+// A peer sent an index without one of the texts that belong to it, so two processes at the same
+// index hold different sets, and at one of them a customer would keep meeting the old limit. If the
+// hashes of both sides happen to be equal, only the infrequent full list reveals the difference.
 BOOST_AUTO_TEST_CASE(a_difference_at_the_same_index_is_found_even_under_an_equal_hash)
 {
     struct Row
@@ -435,11 +436,11 @@
     for (const auto &row : {Row{"hashes differ", false, 30s}, Row{"hashes equal", true, 800s}}) {
         BOOST_TEST_CONTEXT(row.name)
         {
-            Bench whole;
+            ReplicaFixture whole;
             whole.start({60, {text("t", 50, good(1)), text("u", 55, good(1))}});
-            Bench lacking;
+            ReplicaFixture lacking;
             lacking.start({10, {text("t", 9, good(1))}});
-            lacking.hearTwoPeers(10);
+            lacking.receiveTwoReplies(10);
             lacking.give(SettingsReply{60, {text("t", 50, good(1))}});
             std::size_t lists = 0;
             for (const auto until = lacking.now + row.within; lacking.now < until;) {
@@ -460,12 +461,12 @@
     }
 }
 
-// Two processes read the same changes in different orders. Did their hashes differ, each pull
-// between them would list everything, and control traffic would pass its budget at 420 teams.
-BOOST_AUTO_TEST_CASE(the_same_set_held_in_any_order_is_told_by_one_hash)
+// Two processes read the same changes in different orders. If their hashes differed, each pull
+// between them would list everything, and control traffic would exceed its budget at 420 teams.
+BOOST_AUTO_TEST_CASE(the_hash_does_not_depend_on_arrival_order)
 {
-    const auto hashOf = [](Bench &bench) {
-        for (const auto &action : bench.pass(10s)) {
+    const auto hashOf = [](ReplicaFixture &fixture) {
+        for (const auto &action : fixture.pass(10s)) {
             if (const auto *asked = std::get_if<PullFromPeer>(&action)) {
                 BOOST_TEST(asked->pull.brief);
                 BOOST_TEST(asked->pull.held.empty());
@@ -476,19 +477,19 @@
     };
     const auto first = text("t", 11, good(2));
     const auto second = text("u", 12, good(2));
-    std::array<Bench, 3> benches;
-    for (auto &bench : benches) {
-        bench.start({10, {text("t", 9, good(1)), text("u", 10, good(1))}});
-        bench.hearTwoPeers(10);
+    std::array<ReplicaFixture, 3> fixtures;
+    for (auto &fixture : fixtures) {
+        fixture.start({10, {text("t", 9, good(1)), text("u", 10, good(1))}});
+        fixture.receiveTwoReplies(10);
     }
-    benches[0].give(SettingsReply{11, {first}});
-    benches[0].give(SettingsReply{12, {second}});
-    benches[1].give(SettingsReply{10, {second}});
-    benches[1].give(SettingsRead{12, {second, first}});
-    benches[2].give(SettingsReply{11, {first}});
-    const auto hash = hashOf(benches[0]);
-    BOOST_TEST(hash == hashOf(benches[1]));
-    BOOST_TEST(hash != hashOf(benches[2]));
+    fixtures[0].give(SettingsReply{11, {first}});
+    fixtures[0].give(SettingsReply{12, {second}});
+    fixtures[1].give(SettingsReply{10, {second}});
+    fixtures[1].give(SettingsRead{12, {second, first}});
+    fixtures[2].give(SettingsReply{11, {first}});
+    const auto hash = hashOf(fixtures[0]);
+    BOOST_TEST(hash == hashOf(fixtures[1]));
+    BOOST_TEST(hash != hashOf(fixtures[2]));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
