--- a/test/core/sidecar-answers-test.cc
+++ b/test/core/sidecar-answers-test.cc
@@ -31,9 +31,9 @@
 
 BOOST_AUTO_TEST_SUITE(sidecar_answers)
 
-// The router's link dies in mid-answer. It, or another router, asks on a new link for the rest:
-// the caller must get each byte once, then the live ones, then the end.
-BOOST_AUTO_TEST_CASE(rest_of_an_answer_then_live)
+// The router's link breaks in mid-answer. The same router or another one asks on a new link for the
+// rest: the caller must receive each byte once, then the live ones, then the end.
+BOOST_AUTO_TEST_CASE(resume_sends_the_rest_then_goes_live)
 {
     for (const std::uint64_t offset : {0U, 2U, 5U}) {
         Sidecar sidecar(modelPool());
@@ -58,7 +58,7 @@
     }
 }
 
-// Somebody learnt a request id and asks for another customer's answer.
+// A caller that knows a request id of another customer asks for its answer.
 BOOST_AUTO_TEST_CASE(answers_are_given_to_their_customer_only)
 {
     Sidecar sidecar(modelPool());
@@ -66,17 +66,17 @@
     const auto run = sidecar.run(submit);
     sidecar.answer(run, "secret");
     sidecar.from(Resume{"r1", "tai/c2", 0});
-    BOOST_TEST(told(sidecar.refusal()) == "answer-lost/unknown");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "answer-lost/unknown");
     BOOST_TEST(sidecar.sent<Chunk>().empty());
     auto other = submit;
     other.terms.customer = "c2";
     sidecar.from(other);
-    BOOST_TEST(told(sidecar.refusal()) == "answer-lost/unknown");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "answer-lost/unknown");
     BOOST_TEST(sidecar.did<StartRun>().empty());
 }
 
-// The router is gone for good. Its run must not hold a slot until its deadline.
-BOOST_AUTO_TEST_CASE(unread_runs_stop_after_the_grace)
+// The router never comes back. Its run must not occupy a slot until the deadline.
+BOOST_AUTO_TEST_CASE(unread_runs_stop_after_the_grace_period)
 {
     Sidecar sidecar(modelPool());
     sidecar.run(sidecar.request("r1"));
@@ -88,10 +88,10 @@
     BOOST_TEST(sidecar.node().counts().running == 0U);
 }
 
-// A sidecar restarts under a stream, and its caller comes back while the engine is full. The stream
-// waits too long and is given up; told that it was not run, the caller would send it again although
-// the earlier life ran it.
-BOOST_AUTO_TEST_CASE(stream_of_an_earlier_life_that_waited_too_long_is_never_called_not_run)
+// A sidecar restarts during a stream, and the caller resumes while the engine is full. The resume
+// waits too long and is refused. If the refusal said that the request did not run, the caller would
+// send it again although the earlier incarnation ran it.
+BOOST_AUTO_TEST_CASE(resume_from_an_earlier_incarnation_that_timed_out_is_never_reported_not_run)
 {
     Sidecar sidecar(poolOf(1, 1));
     (void)sidecar.run(sidecar.request("busy"));
@@ -101,7 +101,7 @@
     BOOST_TEST((sidecar.sent<Refusal>().back().failure.run == Run::Unknown));
 }
 
-// The sidecar restarted under a stream that its engine still holds.
+// The sidecar restarts during a stream that its engine still holds.
 BOOST_AUTO_TEST_CASE(streams_go_on_after_a_restart)
 {
     Sidecar before(modelPool());
@@ -120,20 +120,21 @@
     BOOST_TEST(after.sent<End>().at(0).hash == 0U);
 
     after.from(Resume{"r1", "tai/c1", 20});
-    BOOST_TEST(told(after.refusal()) == "answer-lost/ran");
+    BOOST_TEST(outcomeOf(after.refusal()) == "answer-lost/ran");
     after.from(Resume{"r2", "tai/c2", 0});
     BOOST_TEST(after.did<StartRun>().at(0).request != name);
     after.give(RunHead{after.started(), 404, {}, false});
-    BOOST_TEST(told(after.refusal()) == "answer-lost/unknown");
+    BOOST_TEST(outcomeOf(after.refusal()) == "answer-lost/unknown");
 
     Sidecar service(servicePool());
     service.from(Resume{"r1", "tai/c1", 0});
-    BOOST_TEST(told(service.refusal()) == "answer-lost/unknown");
+    BOOST_TEST(outcomeOf(service.refusal()) == "answer-lost/unknown");
     BOOST_TEST(service.did<StartRun>().empty());
 }
 
-// A caller reads more slowly than the engine writes. Memory is bounded; the caller is told.
-BOOST_AUTO_TEST_CASE(answers_beyond_what_is_kept_are_stopped)
+// A caller reads more slowly than the engine writes. The buffer is bounded, and the caller receives
+// an error when it overflows.
+BOOST_AUTO_TEST_CASE(answers_beyond_the_buffer_limit_are_stopped)
 {
     SidecarLimits limits;
     limits.answerBytesEach = 10;
@@ -144,11 +145,12 @@
     BOOST_TEST(sidecar.did<CancelRun>().empty());
     sidecar.give(RunChunk{run, "123"});
     BOOST_TEST(sidecar.did<CancelRun>().size() == 1U);
-    BOOST_TEST(told(sidecar.refusal()) == "answer-lost/ran");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "answer-lost/ran");
 }
 
-// Something between the two ends loses track of a connection: it stays open and carries nothing.
-// The router sees a stalled answer until the link is closed and it resumes on a new one.
+// A device between the two ends loses the state of a connection: the connection stays open and
+// carries nothing. The router sees a stalled answer until the link is closed and the router resumes
+// on a new one.
 BOOST_AUTO_TEST_CASE(silent_links_are_closed)
 {
     Sidecar sidecar(modelPool());
@@ -171,25 +173,26 @@
     BOOST_TEST(sidecar.did<CancelRun>().empty());
 }
 
-// A stream goes on for a minute while its router has nothing to say. That its process takes what is
-// sent is sign enough; when it is frozen or dead that ends, and the run must not go on for nobody.
-BOOST_AUTO_TEST_CASE(a_link_lives_while_its_router_takes_what_is_sent)
+// A stream runs for more than a minute while its router sends nothing. The link stays open as long
+// as the router's process reads. When the process is frozen or dead it stops reading, and the run
+// must not go on without a reader.
+BOOST_AUTO_TEST_CASE(a_link_stays_open_while_its_router_reads)
 {
     Sidecar sidecar(modelPool());
     auto submit = sidecar.request("r1");
     submit.notAfter = sidecar.now + 600s;
     const auto run = sidecar.run(submit);
     sidecar.give(RunHead{run, 200, {}, false});
-    std::vector<Instant> told;
+    std::vector<Instant> heartbeatTimes;
     for (auto second = 1; second <= 150; ++second) {
         sidecar.give(RunChunk{run, "x"}).pass(1s);
         for (const auto &heartbeat : sidecar.sent<Heartbeat>())
-            told.push_back(heartbeat.clock);
+            heartbeatTimes.push_back(heartbeat.clock);
         BOOST_TEST(sidecar.did<ClosePeer>().empty());
         sidecar.give(PeerResponded{routerLink});
     }
-    BOOST_TEST(told.size() == 2U);
-    BOOST_TEST((told.at(1) - told.at(0) == 60s));
+    BOOST_TEST(heartbeatTimes.size() == 2U);
+    BOOST_TEST((heartbeatTimes.at(1) - heartbeatTimes.at(0) == 60s));
     sidecar.give(RunChunk{run, "x"}).pass(3950ms);
     BOOST_TEST(sidecar.did<ClosePeer>().empty());
     sidecar.pass(50ms);
@@ -198,7 +201,8 @@
     BOOST_TEST(sidecar.did<CancelRun>().size() == 1U);
 }
 
-// A submit crosses the closing of its link. Its router takes it as never sent and tries elsewhere.
+// A submit arrives after its link was closed. Its router treats it as never sent and tries another
+// upstream.
 BOOST_AUTO_TEST_CASE(messages_of_closed_links_are_lost)
 {
     Sidecar sidecar(modelPool());
@@ -207,7 +211,7 @@
     BOOST_TEST(sidecar.node().counts().running == 0U);
 }
 
-// The sidecar itself slept. It was deaf, the links were not silent.
+// The sidecar itself was suspended and could not receive, so the links were not silent.
 BOOST_AUTO_TEST_CASE(own_sleep_closes_no_link)
 {
     Sidecar sidecar(modelPool());
@@ -217,7 +221,7 @@
     BOOST_TEST(sidecar.did<ClosePeer>().empty());
 }
 
-// Guards against a pause of the sidecar that is added to a silence before it.
+// Guards against a stall of the sidecar being added to the silence before it.
 BOOST_AUTO_TEST_CASE(an_own_pause_after_a_quiet_while_closes_no_link)
 {
     Sidecar sidecar(modelPool());
@@ -232,7 +236,7 @@
     BOOST_TEST(sidecar.did<ClosePeer>().size() == 1U);
 }
 
-// Guards against many ticks that come late, none of them very late, being taken for silence.
+// Guards against many slightly late ticks being taken for silence of the peer.
 BOOST_AUTO_TEST_CASE(ticks_that_all_come_late_close_no_link)
 {
     Sidecar sidecar(modelPool());
@@ -243,8 +247,8 @@
     BOOST_TEST(sidecar.did<ClosePeer>().size() == 1U);
 }
 
-// Guards against a sidecar that was held up stopping a stream whose router has asked for it again
-// meanwhile.
+// Guards against a sidecar that stops a stream after its own stall, although the router has asked
+// for the stream again in the meantime.
 BOOST_AUTO_TEST_CASE(a_run_without_a_link_outlives_an_own_pause)
 {
     Sidecar sidecar(modelPool());
--- a/test/core/sidecar-crash-test.cc
+++ b/test/core/sidecar-crash-test.cc
@@ -5,8 +5,8 @@
 
 namespace {
 
-// What the last step told the other members of crashes.
-auto noticesTold(const Sidecar &sidecar) -> std::vector<CrashNotice>
+// Returns the crash notices sent to the other members in the last step.
+auto sentNotices(const Sidecar &sidecar) -> std::vector<CrashNotice>
 {
     const auto digests = sidecar.did<SendDigest>();
     return digests.empty() ? std::vector<CrashNotice>() : digests.front().digest.crashes;
@@ -19,7 +19,8 @@
     return {digest};
 }
 
-// A request that, after a crash at `crashedAt`, has its second try at `second`.
+// Returns the fingerprint of a request whose second try, after a crash at `crashedAt`, belongs to
+// `second`.
 auto fingerprintFor(const Pool &pool, UpstreamId crashedAt, UpstreamId second) -> Fingerprint
 {
     for (Fingerprint fingerprint = 1;; ++fingerprint) {
@@ -34,8 +35,8 @@
 
 BOOST_AUTO_TEST_SUITE(sidecar_crash)
 
-// A request kills the upstream that runs it. Each way in which that shows must name every request
-// that was running, to all members at once, and tell the routers that it ran.
+// A request crashes the upstream that runs it. However the crash is detected, the notices must name
+// every running request to all members at once, and the routers must learn that it ran.
 BOOST_AUTO_TEST_CASE(crash_is_noticed)
 {
     struct Row
@@ -49,7 +50,7 @@
                                    {"ended-while-up", false}};
     for (const auto &row : rows) {
         Sidecar sidecar(poolOf(3, 4));
-        sidecar.hear(1, 8).hear(2, 8);
+        sidecar.receiveLoad(1, 8).receiveLoad(2, 8);
         const auto first = sidecar.run(sidecar.request("r1"));
         const auto second = sidecar.run(sidecar.request("r2"));
         const auto from = static_cast<std::ptrdiff_t>(sidecar.all.size());
@@ -68,12 +69,13 @@
         const auto refusals = sidecar.sent<Refusal>();
         BOOST_TEST(refusals.size() == (row.crashed ? 2U : 1U), row.how);
         for (const auto &refusal : refusals)
-            BOOST_TEST(told(refusal)
+            BOOST_TEST(outcomeOf(refusal)
                            == (row.crashed ? "upstream-crashed/ran" : "upstream-failed/ran"),
                        row.how);
         BOOST_TEST(sidecar.node().counts().crashes == (row.crashed ? 1U : 0U), row.how);
         if (row.crashed) {
-            // The notices leave before the refusals, or a router could be faster than they are.
+            // The notices leave before the refusals; otherwise a router could retry before the
+            // notices arrive.
             const auto isDigest = [](const auto &action) {
                 return std::holds_alternative<SendDigest>(action);
             };
@@ -84,44 +86,44 @@
             const auto &all = sidecar.last;
             BOOST_TEST((std::find_if(all.begin(), all.end(), isDigest)
                         < std::find_if(all.begin(), all.end(), isRefusal)));
-            const auto told = sidecar.did<SendDigest>().back().digest.crashes;
-            BOOST_TEST(told.size() == 2U, row.how);
+            const auto notices = sidecar.did<SendDigest>().back().digest.crashes;
+            BOOST_TEST(notices.size() == 2U, row.how);
         }
     }
 }
 
-// The same request is sent again and again by its caller, alone, through any router. It may take
-// two upstreams down, never a third, at whatever member it arrives next.
+// A caller sends the same request again and again, one at a time, through any router. It may crash
+// two upstreams but never a third, whichever member it reaches next.
 BOOST_AUTO_TEST_CASE(at_most_two_upstreams_are_lost)
 {
     const auto pool = poolOf(3, 4);
     const auto first = pool.members[1].id;
     const auto fingerprint = fingerprintFor(pool, first, pool.members[0].id);
-    std::vector<CrashNotice> heard = {{fingerprint, {first, 5}, 1, 60s}};
+    std::vector<CrashNotice> knownNotices = {{fingerprint, {first, 5}, 1, 60s}};
     std::size_t lost = 1;
-    for (const Incarnation life : {11U, 12U, 13U, 14U}) {
-        Sidecar sidecar(pool, {}, life);
-        sidecar.give(withCrashes(heard));
-        auto submit = sidecar.request("again" + std::to_string(life));
+    for (const Incarnation incarnation : {11U, 12U, 13U, 14U}) {
+        Sidecar sidecar(pool, {}, incarnation);
+        sidecar.give(withCrashes(knownNotices));
+        auto submit = sidecar.request("again" + std::to_string(incarnation));
         submit.terms.fingerprint = fingerprint;
         sidecar.from(submit);
         if (sidecar.did<StartRun>().empty()) {
-            BOOST_TEST(told(sidecar.refusal()) == "crash-suspect/not-run");
+            BOOST_TEST(outcomeOf(sidecar.refusal()) == "crash-suspect/not-run");
             BOOST_TEST(sidecar.node().counts().refusedCrash == 1U);
             continue;
         }
         ++lost;
         sidecar.give(RunBroken{sidecar.started(), RunBreak::Lost}).report("epoch-2");
-        BOOST_TEST(told(sidecar.refusal()) == "crash-suspect/ran");
-        heard = noticesTold(sidecar);
+        BOOST_TEST(outcomeOf(sidecar.refusal()) == "crash-suspect/ran");
+        knownNotices = sentNotices(sidecar);
     }
     BOOST_TEST(lost == 2U);
-    BOOST_TEST(heard.size() == 2U);
+    BOOST_TEST(knownNotices.size() == 2U);
 }
 
-// One upstream is down and its request is repeated through several routers at the same time. Each
-// repeat that ran at a member of its own would take one more upstream down.
-BOOST_AUTO_TEST_CASE(after_one_crash_only_the_named_member_tries)
+// One upstream is down, and its request is repeated through several routers at the same time. If
+// each repeat ran at a different member, each would crash one more upstream.
+BOOST_AUTO_TEST_CASE(after_one_crash_only_the_next_candidate_retries)
 {
     const auto pool = poolOf(3, 4);
     for (const std::size_t second : {0U, 2U}) {
@@ -135,13 +137,13 @@
         BOOST_TEST(sidecar.did<StartRun>().size() == (second == 0 ? 1U : 0U));
         if (second == 0)
             continue;
-        BOOST_TEST(told(sidecar.refusal()) == "no-upstream/not-run");
+        BOOST_TEST(outcomeOf(sidecar.refusal()) == "no-upstream/not-run");
         BOOST_TEST(sidecar.refusal().redirect == pool.members[second].id);
     }
 }
 
-// Copies run at two upstreams at the same instant and both crash. The second try, told of the first
-// crash only, must not begin before the other copy's notice can have come.
+// Copies run at two upstreams at the same time and both crash. A second try that knows of the first
+// crash only must not begin before the notice of the other crash can have arrived.
 BOOST_AUTO_TEST_CASE(second_try_waits_for_copies_at_other_upstreams)
 {
     const auto pool = poolOf(4, 4);
@@ -149,7 +151,7 @@
     const auto fingerprint = fingerprintFor(pool, first, pool.members[0].id);
     for (const auto isPoison : {true, false}) {
         Sidecar sidecar(pool);
-        sidecar.hear(1, 0).hear(2, 0).hear(3, 0);
+        sidecar.receiveLoad(1, 0).receiveLoad(2, 0).receiveLoad(3, 0);
         sidecar.give(withCrashes({{fingerprint, {first, 5}, 1, std::chrono::minutes(10)}}));
         auto submit = sidecar.request("r1");
         submit.terms.fingerprint = fingerprint;
@@ -161,18 +163,18 @@
         sidecar.passAlive(600ms);
         BOOST_TEST(sidecar.did<StartRun>().size() == (isPoison ? 0U : 1U));
         if (isPoison)
-            BOOST_TEST(told(sidecar.refusal()) == "crash-suspect/not-run");
+            BOOST_TEST(outcomeOf(sidecar.refusal()) == "crash-suspect/not-run");
     }
 }
 
-// A copy waits in the queue when the notice of its first crash comes. Started there as well as at
-// the named member, it would cost a third upstream.
+// A copy waits in the queue when the notice of the first crash arrives. If it started there as well
+// as at the member chosen for the second try, it would crash a third upstream.
 BOOST_AUTO_TEST_CASE(queued_copy_leaves_when_its_second_try_is_elsewhere)
 {
     const auto pool = poolOf(3, 1);
     const auto first = pool.members[1].id;
     Sidecar sidecar(pool);
-    sidecar.hear(1, 0).hear(2, 0);
+    sidecar.receiveLoad(1, 0).receiveLoad(2, 0);
     const auto run = sidecar.run(sidecar.request("r1"));
     auto copy = sidecar.request("r2");
     copy.mayWait = true;
@@ -181,11 +183,12 @@
     sidecar.give(withCrashes({{copy.terms.fingerprint, {first, 5}, 1, 60s}}));
     sidecar.answer(run, "fine");
     BOOST_TEST(sidecar.did<StartRun>().empty());
-    BOOST_TEST(told(sidecar.refusal()) == "no-upstream/not-run");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "no-upstream/not-run");
 }
 
-// The same upstream is taken down twice in one life of its sidecar: that is two crashes as well.
-BOOST_AUTO_TEST_CASE(two_crashes_in_one_life)
+// The same upstream crashes twice within one incarnation of its sidecar: this counts as two
+// crashes.
+BOOST_AUTO_TEST_CASE(two_crashes_in_one_incarnation)
 {
     Sidecar sidecar(poolOf(1, 4));
     for (int time = 1; time <= 3; ++time) {
@@ -200,8 +203,8 @@
     BOOST_TEST(sidecar.node().counts().crashes == 2U);
 }
 
-// An innocent request shared a crash and finishes elsewhere. A second crash that it shares must
-// not condemn it, and the others must hear that it is cleared.
+// An innocent request shared a crash and finishes at another upstream. A second crash that it
+// shares must not make it a suspect, and the other members must learn that it is cleared.
 BOOST_AUTO_TEST_CASE(finishing_clears_an_innocent)
 {
     const auto pool = poolOf(3, 4);
@@ -226,8 +229,9 @@
                == 1);
 }
 
-// Requests wait while the upstream crashes. They did not run; told so, their routers go elsewhere.
-BOOST_AUTO_TEST_CASE(waiting_requests_are_let_go_when_the_upstream_is_down)
+// Requests wait while the upstream crashes. They did not run and are refused as such, so their
+// routers try another upstream.
+BOOST_AUTO_TEST_CASE(waiting_requests_are_refused_when_the_upstream_is_down)
 {
     Sidecar sidecar(poolOf(1, 1));
     const auto run = sidecar.run(sidecar.request("r1"));
@@ -235,11 +239,11 @@
     sidecar.give(RunBroken{run, RunBreak::Lost});
     BOOST_TEST(sidecar.did<StartRun>().empty());
     sidecar.report("");
-    std::vector<std::string> tells;
+    std::vector<std::string> outcomes;
     for (const auto &refusal : sidecar.sent<Refusal>())
-        tells.push_back(refusal.request + ' ' + told(refusal));
+        outcomes.push_back(refusal.request + ' ' + outcomeOf(refusal));
     BOOST_TEST(
-        tells == (std::vector<std::string>{"r1 upstream-crashed/ran", "r2 no-upstream/not-run"}),
+        outcomes == (std::vector<std::string>{"r1 upstream-crashed/ran", "r2 no-upstream/not-run"}),
         boost::test_tools::per_element());
     BOOST_TEST((sidecar.node().state() == UpstreamState::Down));
 }
--- a/test/core/sidecar-deadline-test.cc
+++ b/test/core/sidecar-deadline-test.cc
@@ -5,14 +5,14 @@
 
 namespace {
 
-auto patientPool() -> Pool
+auto poolWithLongQueueWait() -> Pool
 {
     auto pool = poolOf(1, 1);
     pool.queueWait = 60s;
     return pool;
 }
 
-/// Runs one request, so that the sidecar knows how long runs take.
+/// Runs one request, so that the sidecar can estimate the service time.
 auto runFor(Sidecar &sidecar, const RequestId &id, Duration time, int priority = 0) -> void
 {
     auto submit = sidecar.request(id);
@@ -32,11 +32,12 @@
 
 BOOST_AUTO_TEST_SUITE(sidecar_deadline)
 
-// A request that can be run in time waits its turn, and then a rush of damp cases takes the places
-// before it. Its caller would hold the line almost to the deadline, only to be told to come back.
-BOOST_AUTO_TEST_CASE(one_that_is_overtaken_is_refused_when_its_hope_ends)
+// A request that could meet its deadline waits in the queue, then a burst of requests of higher
+// priority overtakes it. Without an early refusal its caller would wait almost to the deadline and
+// then be refused.
+BOOST_AUTO_TEST_CASE(an_overtaken_request_is_refused_once_its_deadline_is_unmeetable)
 {
-    Sidecar sidecar(patientPool());
+    Sidecar sidecar(poolWithLongQueueWait());
     runFor(sidecar, "first", 2s);
     sidecar.run(sidecar.request("running"));
     auto low = sidecar.request("low");
@@ -49,15 +50,16 @@
     }
     sidecar.passAlive(500ms);
     BOOST_TEST(sidecar.refusal().request == "low");
-    BOOST_TEST(told(sidecar.refusal()) == "deadline-unmeetable/not-run");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "deadline-unmeetable/not-run");
     BOOST_TEST(sidecar.refusal().failure.retryAfter.has_value());
 }
 
-// Damp cases alone keep the engine busy. One who asks for something else finds a short queue, but
-// the next damp case always goes first: it must hear so at once, not after its whole deadline.
-BOOST_AUTO_TEST_CASE(one_that_higher_priorities_would_always_overtake_is_refused_at_once)
+// Requests of high priority alone keep the engine busy. A request of low priority finds a short
+// queue, but the next request of high priority always goes first: it must be refused at once, not
+// after its whole deadline.
+BOOST_AUTO_TEST_CASE(a_request_always_overtaken_by_higher_priorities_is_refused_at_once)
 {
-    Sidecar sidecar(patientPool());
+    Sidecar sidecar(poolWithLongQueueWait());
     for (auto number = 0; number < 20; ++number) {
         runFor(sidecar, "high-" + std::to_string(number), 1s, 9);
     }
@@ -65,7 +67,7 @@
     auto low = sidecar.request("low");
     low.notAfter = sidecar.now + 8s;
     sidecar.from(low);
-    BOOST_TEST(told(sidecar.refusal()) == "deadline-unmeetable/not-run");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "deadline-unmeetable/not-run");
     auto alike = withPriority(sidecar.request("alike"), 9);
     alike.notAfter = sidecar.now + 8s;
     sidecar.from(alike);
--- a/test/core/sidecar-fixture.h
+++ b/test/core/sidecar-fixture.h
@@ -48,7 +48,7 @@
     return made;
 }
 
-/// Member 0 of its pool, with settings in force, its upstream serving and one link up.
+/// The sidecar of member 0, with settings in force, a serving upstream and one link up.
 class Sidecar
 {
 public:
@@ -69,7 +69,7 @@
         return *this;
     }
 
-    /// Lets time pass with the host's ticks.
+    /// Advances time with the host's ticks.
     auto pass(Duration time, Duration step = 50ms) -> Sidecar &
     {
         std::vector<SidecarAction> seen;
@@ -82,7 +82,7 @@
         return *this;
     }
 
-    /// Lets time pass with a router that sends its heartbeats.
+    /// Advances time while the router sends its heartbeats.
     auto passAlive(Duration time) -> Sidecar &
     {
         std::vector<SidecarAction> seen;
@@ -130,7 +130,7 @@
         return submit;
     }
 
-    /// The actions of one kind in the last step.
+    /// Returns the actions of one kind in the last step.
     template <typename Kind>
     [[nodiscard]] auto did() const -> std::vector<Kind>
     {
@@ -148,7 +148,7 @@
         return found;
     }
 
-    /// The messages of one kind sent over `link` in the last step.
+    /// Returns the messages of one kind sent over `link` in the last step.
     template <typename Kind>
     [[nodiscard]] auto sent(LinkId link = routerLink) const -> std::vector<Kind>
     {
@@ -161,7 +161,7 @@
         return found;
     }
 
-    /// The only refusal of the last step.
+    /// Returns the only refusal of the last step.
     [[nodiscard]] auto refusal(LinkId link = routerLink) const -> Refusal
     {
         const auto refusals = sent<Refusal>(link);
@@ -169,7 +169,7 @@
         return refusals.front();
     }
 
-    /// The run started in the last step.
+    /// Returns the run started in the last step.
     [[nodiscard]] auto started() const -> RunId
     {
         const auto starts = did<StartRun>();
@@ -177,7 +177,7 @@
         return starts.front().run;
     }
 
-    /// Submits and gives the run, which must start.
+    /// Submits the request and returns its run, which must start.
     auto run(Submit submit) -> RunId
     {
         from(std::move(submit));
@@ -191,13 +191,13 @@
         return give(RunEnd{run});
     }
 
-    /// Another member's load as a digest tells it.
-    auto hear(std::size_t member, std::uint32_t load, UpstreamState state = UpstreamState::Serving)
-        -> Sidecar &
+    /// Delivers a digest that reports another member's load.
+    auto receiveLoad(std::size_t member, std::uint32_t load,
+                     UpstreamState state = UpstreamState::Serving) -> Sidecar &
     {
-        const auto &told = pool_.members.at(member);
+        const auto &reported = pool_.members.at(member);
         Digest digest;
-        digest.entries = {{told.id, 1, ++version_, load, 0, told.slots, state, 0us}};
+        digest.entries = {{reported.id, 1, ++version_, load, 0, reported.slots, state, 0us}};
         return give(DigestReceived{digest});
     }
 
@@ -219,8 +219,8 @@
     std::uint32_t version_ = 0;
 };
 
-/// Kind and run of a refusal, for tables.
-inline auto told(const Refusal &refusal) -> std::string
+/// Returns the error name and the run state of a refusal, for comparison in tables.
+inline auto outcomeOf(const Refusal &refusal) -> std::string
 {
     return std::string(answerFor(refusal.failure.kind).name) + '/'
         + std::string(runName(refusal.failure.run));
--- a/test/core/sidecar-history-test.cc
+++ b/test/core/sidecar-history-test.cc
@@ -16,20 +16,21 @@
 constexpr int histories = 1500;
 constexpr LinkId links = 3;
 
-/// One random step: what happens, to which request, over which link.
+/// One random step: which event happens, to which request, over which link.
 struct Step
 {
-    int what;
+    int event;
     int subject;
     LinkId link;
 };
 
 auto operator<<(std::ostream &os, const Step &step) -> std::ostream &
 {
-    return os << '{' << step.what << ',' << step.subject << ',' << step.link << '}';
+    return os << '{' << step.event << ',' << step.subject << ',' << step.link << '}';
 }
 
-/// Drives one sidecar through random steps and checks what it says against what it did.
+/// Drives one sidecar through random steps and checks its messages against the runs that it
+/// started.
 class History
 {
 public:
@@ -38,7 +39,7 @@
         , sidecar_(makePool())
     {
         sidecar_.give(PeerLinkUp{2}).give(PeerLinkUp{3});
-        sidecar_.hear(1, 3).hear(2, 3);
+        sidecar_.receiveLoad(1, 3).receiveLoad(2, 3);
         check();
     }
 
@@ -49,8 +50,8 @@
             sidecar_.give(PeerLinkUp{link});
         }
         const auto request = "r" + std::to_string(step.subject);
-        const auto attempt = static_cast<std::uint32_t>(1 + step.what % 2);
-        switch (step.what / 2) {
+        const auto attempt = static_cast<std::uint32_t>(1 + step.event % 2);
+        switch (step.event / 2) {
         case 0:
         case 1:
         case 2:
@@ -73,13 +74,13 @@
             break;
         case 7:
             sidecar_.pass(step.subject % 2 == 0 ? 200ms : 4s);
-            sidecar_.hear(1, 3).hear(2, 3);
+            sidecar_.receiveLoad(1, 3).receiveLoad(2, 3);
             break;
         case 8:
             breakRun(step);
             break;
         default:
-            goOn(step);
+            continueRun(step);
             break;
         }
         check();
@@ -87,7 +88,7 @@
 
     [[nodiscard]] auto runs() const -> std::size_t { return started_.size(); }
     [[nodiscard]] auto ends() const -> std::size_t { return ends_; }
-    [[nodiscard]] auto notRuns() const -> std::size_t { return toldNotRun_.size(); }
+    [[nodiscard]] auto notRuns() const -> std::size_t { return reportedNotRun_.size(); }
 
 private:
     using Attempt = std::pair<RequestId, std::uint32_t>;
@@ -95,7 +96,7 @@
     struct Started
     {
         Attempt attempt;
-        std::size_t given = 0;
+        std::size_t sentBytes = 0;
         bool neverSent = false;
         bool broken = false;
     };
@@ -117,7 +118,7 @@
     auto submit(const RequestId &request, std::uint32_t attempt, const Step &step) -> void
     {
         auto message = keyed_ ? sidecar_.keyed(request, keyOf(request)) : sidecar_.request(request);
-        // The submit may have been on its way for long; its deadline then is about to pass.
+        // The submit may have been in flight for a long time, so its deadline is close.
         message.notAfter = Instant{1000s} + 40s;
         message.attempt = attempt;
         message.call.path = request + '/' + std::to_string(attempt);
@@ -138,29 +139,29 @@
 
     static auto bodyOf(RunId run) -> std::string { return "body of " + std::to_string(run); }
 
-    // One of the runs started last.
-    auto lately(const Step &step) -> std::map<RunId, Started>::iterator
+    // Returns one of the most recently started runs.
+    auto recentRun(const Step &step) -> std::map<RunId, Started>::iterator
     {
         const auto back =
             1 + static_cast<std::size_t>(step.subject) % std::min<std::size_t>(4, started_.size());
         return std::prev(started_.end(), static_cast<std::ptrdiff_t>(back));
     }
 
-    auto goOn(const Step &step) -> void
+    auto continueRun(const Step &step) -> void
     {
         if (started_.empty())
             return;
-        const auto item = lately(step);
+        const auto item = recentRun(step);
         const auto body = bodyOf(item->first);
-        auto &given = item->second.given;
-        if (given == body.size()) {
+        auto &sentBytes = item->second.sentBytes;
+        if (sentBytes == body.size()) {
             sidecar_.give(RunEnd{item->first});
             return;
         }
-        if (given == 0)
+        if (sentBytes == 0)
             sidecar_.give(RunHead{item->first, 200, {}, false});
-        const auto part = body.substr(given, 5);
-        given += part.size();
+        const auto part = body.substr(sentBytes, 5);
+        sentBytes += part.size();
         check();
         sidecar_.give(RunChunk{item->first, part});
     }
@@ -169,8 +170,8 @@
     {
         if (started_.empty())
             return;
-        const auto item = lately(step);
-        const auto isFresh = item->second.given == 0 && !item->second.broken;
+        const auto item = recentRun(step);
+        const auto isFresh = item->second.sentBytes == 0 && !item->second.broken;
         const auto how = isFresh && step.link == 1 ? RunBreak::NeverSent
             : step.link == 2                       ? RunBreak::Lost
                                                    : RunBreak::EndedEarly;
@@ -179,7 +180,7 @@
         sidecar_.give(RunBroken{item->first, how});
     }
 
-    // Everything the node did since the last check.
+    // Checks all actions of the node since the last check.
     auto check() -> void
     {
         for (; checked_ < sidecar_.all.size(); ++checked_) {
@@ -199,8 +200,8 @@
         const auto slash = start.call.path.find('/');
         const Attempt attempt{start.call.path.substr(0, slash),
                               std::stoul(start.call.path.substr(slash + 1))};
-        // A caller was told that this attempt did not run.
-        RC_ASSERT(!toldNotRun_.contains(attempt));
+        // This attempt was reported as not run.
+        RC_ASSERT(!reportedNotRun_.contains(attempt));
         for (const auto &[run, other] : started_) {
             const auto isSame = keyed_ ? keyOf(other.attempt.first) == keyOf(attempt.first)
                                        : other.attempt == attempt;
@@ -215,7 +216,7 @@
             return;
         for (const auto &[id, started] : started_)
             RC_ASSERT(started.attempt != Attempt(request, attempt) || started.neverSent);
-        toldNotRun_.insert({request, attempt});
+        reportedNotRun_.insert({request, attempt});
     }
 
     auto checkSent(const SendToPeer &send) -> void
@@ -244,8 +245,8 @@
     {
         return std::any_of(started_.begin(), started_.end(), [&](const auto &item) {
             const auto &ran = item.second.attempt.first;
-            const auto isIts = keyed_ ? keyOf(ran) == keyOf(request) : ran == request;
-            return isIts && bodyOf(item.first) == body;
+            const auto matches = keyed_ ? keyOf(ran) == keyOf(request) : ran == request;
+            return matches && bodyOf(item.first) == body;
         });
     }
 
@@ -253,9 +254,9 @@
     Sidecar sidecar_;
     std::size_t checked_ = 0;
     std::map<RunId, Started> started_;
-    std::set<Attempt> toldNotRun_;
+    std::set<Attempt> reportedNotRun_;
     std::map<LinkId, std::map<RequestId, std::string>> received_;
-    std::set<LinkId> closed_; // By the node; opened again before the next step.
+    std::set<LinkId> closed_; // Links closed by the node; reopened before the next step.
     std::size_t ends_ = 0;
 };
 
@@ -264,7 +265,7 @@
     constexpr int kinds = 26;
     constexpr int subjects = 6;
     return rc::gen::container<std::vector<Step>>(
-        rc::gen::build<Step>(rc::gen::set(&Step::what, rc::gen::inRange(0, kinds)),
+        rc::gen::build<Step>(rc::gen::set(&Step::event, rc::gen::inRange(0, kinds)),
                              rc::gen::set(&Step::subject, rc::gen::inRange(0, subjects)),
                              rc::gen::set(&Step::link, rc::gen::inRange<LinkId>(1, links + 1))));
 }
@@ -273,8 +274,9 @@
 
 BOOST_AUTO_TEST_SUITE(sidecar_history)
 
-// Submits, revokes and resumes arrive late, twice and crossed, links break, runs break. Whatever
-// the order: no key runs twice, "not run" is never said of what ran, and an answer is whole.
+// Submits, revokes and resumes arrive late, twice and out of order, links break, runs break. In any
+// order: no key runs twice, a request that ran is never reported as not run, and an answer is
+// complete.
 BOOST_AUTO_TEST_CASE(random_histories_keep_the_promises)
 {
     for (const auto seed : historySeeds) {
--- a/test/core/sidecar-keys-test.cc
+++ b/test/core/sidecar-keys-test.cc
@@ -12,7 +12,7 @@
     return pool;
 }
 
-// A key that member 0 owns in `owned`, and that `elsewhere` gives to another.
+// Returns a key that member 0 owns in `owned` and another member owns in `elsewhere`.
 auto keyOwnedOnlyIn(const Pool &owned, const Pool &elsewhere) -> std::string
 {
     for (int number = 0;; ++number) {
@@ -33,14 +33,14 @@
 
 BOOST_AUTO_TEST_SUITE(sidecar_keys)
 
-// A caller books a repair, loses its connection and sends the key again, through any router and
-// at any time. Run again, two operatives come to one door.
+// A caller books a repair, loses its connection and sends the key again, through any router and at
+// any time. If the key ran again, two operatives would be sent to one address.
 BOOST_AUTO_TEST_CASE(repeats_of_a_key_never_run_again)
 {
     struct Row
     {
         std::string when;
-        std::string told; // Empty when the recorded answer is replayed whole.
+        std::string expected; // Empty when the recorded answer is replayed completely.
     };
     const std::vector<Row> rows = {{"running", ""},
                                    {"acknowledged", ""},
@@ -60,12 +60,12 @@
             sidecar.give(
                 RunBroken{run, row.when == "lost" ? RunBreak::Lost : RunBreak::EndedEarly});
             sidecar.pass(2s);
-            BOOST_TEST(told(sidecar.refusal()) == row.told);
+            BOOST_TEST(outcomeOf(sidecar.refusal()) == row.expected);
         } else if (row.when == "restarted") {
             sidecar.report("epoch-2");
         } else if (row.when == "deadline") {
             sidecar.passAlive(60s);
-            BOOST_TEST(told(sidecar.refusal()) == "deadline-exceeded/ran");
+            BOOST_TEST(outcomeOf(sidecar.refusal()) == "deadline-exceeded/ran");
         } else if (row.when == "revoked") {
             sidecar.from(Revoke{"r1", 1, 7});
         } else if (row.when == "unread") {
@@ -83,8 +83,8 @@
             again.terms.fingerprint = 1;
         sidecar.from(again);
         BOOST_TEST(sidecar.did<StartRun>().empty(), row.when);
-        if (!row.told.empty()) {
-            BOOST_TEST(told(sidecar.refusal()) == row.told, row.when);
+        if (!row.expected.empty()) {
+            BOOST_TEST(outcomeOf(sidecar.refusal()) == row.expected, row.when);
             continue;
         }
         BOOST_TEST(sidecar.sent<Head>().at(0).replayed == (row.when != "running"), row.when);
@@ -96,17 +96,17 @@
     }
 }
 
-// The upstream took no connection, so the key did not run and may be sent again.
-BOOST_AUTO_TEST_CASE(key_that_never_ran_may_run)
+// The upstream accepted no connection, so the key did not run and may be sent again.
+BOOST_AUTO_TEST_CASE(a_key_that_never_ran_may_run)
 {
     Sidecar sidecar(servicePool());
     sidecar.give(RunBroken{sidecar.run(sidecar.keyed("r1", "k")), RunBreak::NeverSent});
-    BOOST_TEST(told(sidecar.refusal()) == "upstream-failed/not-run");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "upstream-failed/not-run");
     sidecar.run(sidecar.keyed("r2", "k"));
 }
 
-// Between two sends of a key its owner restarts or the member list changes: the earlier owner, or
-// the earlier life, may have run it, and nobody here can know.
+// Between two sends of a key its owner restarts or the member list changes. The earlier owner or
+// the earlier incarnation may have run the key, and the new owner cannot know.
 BOOST_AUTO_TEST_CASE(resend_window)
 {
     const auto three = servicePool(3);
@@ -117,8 +117,8 @@
     {
         bool firstSend;
         bool listChanged;
-        Duration waited; // Since the start, or since the list changed.
-        std::string told;
+        Duration waited; // Since the start or the change of the member list.
+        std::string expected;
     };
     const std::vector<Row> rows = {{false, false, 599s, "resend-window/unknown"},
                                    {false, false, 601s, ""},
@@ -131,7 +131,7 @@
         if (row.listChanged) {
             sidecar.pass(700s, 1s);
             sidecar.from(sidecar.keyed("early", key));
-            BOOST_TEST(told(sidecar.refusal()) == "no-upstream/not-run");
+            BOOST_TEST(outcomeOf(sidecar.refusal()) == "no-upstream/not-run");
             BOOST_TEST(sidecar.refusal().redirect != sidecar.id(0));
             sidecar.give(SettingsInForce{settingsOf(two, 2)});
         }
@@ -139,13 +139,13 @@
         auto submit = sidecar.keyed("r1", key);
         submit.terms.firstSend = row.firstSend;
         sidecar.from(submit);
-        BOOST_TEST(sidecar.did<StartRun>().size() == (row.told.empty() ? 1U : 0U));
-        if (!row.told.empty())
-            BOOST_TEST(told(sidecar.refusal()) == row.told);
+        BOOST_TEST(sidecar.did<StartRun>().size() == (row.expected.empty() ? 1U : 0U));
+        if (!row.expected.empty())
+            BOOST_TEST(outcomeOf(sidecar.refusal()) == row.expected);
     }
 }
 
-// A ticket is good at one life only; afterwards nobody knows whether it ran.
+// A ticket is valid for one incarnation only; afterwards nobody knows whether it ran.
 BOOST_AUTO_TEST_CASE(tickets)
 {
     struct Row
@@ -153,7 +153,7 @@
         Incarnation target;
         Duration expiresIn;
         bool firstSend;
-        std::string told;
+        std::string expected;
     };
     const std::vector<Row> rows = {{7, 600s, false, ""},
                                    {6, 600s, false, "outcome-unknown/unknown"},
@@ -168,9 +168,9 @@
         submit.target = row.target;
         submit.terms.firstSend = row.firstSend;
         sidecar.from(submit);
-        BOOST_TEST(sidecar.did<StartRun>().size() == (row.told.empty() ? 1U : 0U));
-        if (!row.told.empty())
-            BOOST_TEST(told(sidecar.refusal()) == row.told);
+        BOOST_TEST(sidecar.did<StartRun>().size() == (row.expected.empty() ? 1U : 0U));
+        if (!row.expected.empty())
+            BOOST_TEST(outcomeOf(sidecar.refusal()) == row.expected);
     }
 }
 
@@ -182,7 +182,7 @@
     sidecar.answer(sidecar.run(sidecar.keyed("r1", "k1")), "x");
     sidecar.run(sidecar.keyed("r2", "k2"));
     sidecar.from(sidecar.keyed("r3", "k3"));
-    BOOST_TEST(told(sidecar.refusal()) == "overloaded/not-run");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "overloaded/not-run");
     sidecar.from(sidecar.keyed("r4", "k1"));
     BOOST_TEST(sidecar.sent<End>().size() == 1U);
     sidecar.passAlive(601s);
--- a/test/core/sidecar-leaving-test.cc
+++ b/test/core/sidecar-leaving-test.cc
@@ -38,13 +38,13 @@
 
 BOOST_AUTO_TEST_SUITE(sidecar_leaving)
 
-// The platform takes a host away. New work must go elsewhere at once, work in flight must finish,
-// whichever way the sidecar learns of it.
-BOOST_AUTO_TEST_CASE(leaving_finishes_what_it_has)
+// The platform withdraws a host. New requests must go to other upstreams at once and running ones
+// must finish, whichever way the sidecar learns of it.
+BOOST_AUTO_TEST_CASE(leaving_finishes_running_and_queued_requests)
 {
     for (const std::string how : {"host-list", "settings", "drain"}) {
         Sidecar sidecar(modelPool());
-        sidecar.hear(1, 2).hear(2, 2);
+        sidecar.receiveLoad(1, 2).receiveLoad(2, 2);
         const auto run = sidecar.run(sidecar.request("r1"));
         sidecar.from(sidecar.request("r2"));
         BOOST_TEST(sidecar.node().counts().waiting == 1U);
@@ -56,7 +56,7 @@
         BOOST_TEST(
             (sidecar.did<SendDigest>().at(0).digest.entries.at(0).state == UpstreamState::Leaving));
         sidecar.from(sidecar.request("r3"));
-        BOOST_TEST(told(sidecar.refusal()) == "upstream-leaving/not-run");
+        BOOST_TEST(outcomeOf(sidecar.refusal()) == "upstream-leaving/not-run");
         BOOST_TEST(sidecar.refusal().loads.at(0).upstream != sidecar.id(0));
         sidecar.answer(run, "abc");
         const auto second = sidecar.started();
@@ -69,9 +69,9 @@
     }
 }
 
-// A router took the answer's end but died before it acknowledged. The process must not wait for
-// ever, nor exit while another router may still come for the answer.
-BOOST_AUTO_TEST_CASE(unacknowledged_answers_hold_the_drain_for_their_lifetime)
+// A router received the end of an answer but died before it acknowledged it. The process must
+// neither wait forever nor exit while another router may still ask for the answer.
+BOOST_AUTO_TEST_CASE(unacknowledged_answers_delay_the_drain_for_their_lifetime)
 {
     Sidecar sidecar(modelPool());
     sidecar.answer(sidecar.run(sidecar.request("r1")), "abc");
@@ -81,8 +81,9 @@
     BOOST_TEST(sidecar.did<Drained>().size() == 1U);
 }
 
-// A lagging host list says a host leaves that stays, or is empty because it could not be read.
-BOOST_AUTO_TEST_CASE(host_list_may_take_it_back)
+// A lagging host list reports a host as leaving that stays, or is empty because it could not be
+// read.
+BOOST_AUTO_TEST_CASE(a_later_host_list_may_cancel_the_leaving)
 {
     Sidecar sidecar(modelPool());
     leave(sidecar, "host-list");
@@ -92,17 +93,17 @@
     BOOST_TEST((sidecar.node().state() == UpstreamState::Serving));
 }
 
-// An engine is stopped on purpose: the chats it holds are copied to where they go next.
-BOOST_AUTO_TEST_CASE(hottest_chats_are_handed_to_their_next_home)
+// An engine is stopped on purpose: the chats that it holds are copied to their next owners.
+BOOST_AUTO_TEST_CASE(most_recently_used_chats_are_handed_to_their_next_owner)
 {
     Sidecar sidecar(modelPool(3, 8));
-    sidecar.hear(1, 2);
+    sidecar.receiveLoad(1, 2);
     sidecar.give(CacheEvents{{21, 22, 23, 24, 25, 26}, {24}, false});
     sidecar.give(DrainRequested{});
     const auto first = sidecar.did<HandOff>();
     BOOST_TEST(first.size() == 4U);
     BOOST_TEST(first.at(0).chat == 26U);
-    // Member 2 was never heard from, so all go to member 1.
+    // No load of member 2 is known, so all chats go to member 1.
     for (const auto &handOff : first)
         BOOST_TEST(handOff.to == sidecar.id(1));
     sidecar.pass(1s);
@@ -114,8 +115,9 @@
     BOOST_TEST(sidecar.refusal().redirect == sidecar.id(1));
 }
 
-// A chat ran elsewhere because its home was full. Its next turn comes home: it is redirected when
-// the context is not here any more or the home is full again, and runs here when it is.
+// A chat ran at another engine because its owner was full. Its next turn reaches the owner: it is
+// redirected if the owner no longer has the context or is full again, and runs at the owner
+// otherwise.
 BOOST_AUTO_TEST_CASE(pointers_redirect_returning_chats)
 {
     struct Row
@@ -135,7 +137,7 @@
         auto pool = modelPool();
         pool.queueLimit = 0;
         Sidecar sidecar(pool);
-        sidecar.hear(1, 2);
+        sidecar.receiveLoad(1, 2);
         if (row.full)
             sidecar.run(sidecar.request("other"));
         sidecar.from(Moved{5, sidecar.id(1)});
@@ -143,14 +145,15 @@
         if (row.warmHere)
             sidecar.give(CacheEvents{{5}, {}, true});
         if (!row.holderServes)
-            sidecar.hear(1, 2, UpstreamState::Leaving);
+            sidecar.receiveLoad(1, 2, UpstreamState::Leaving);
         sidecar.from(chatRequest(sidecar, "r1", 5));
         BOOST_TEST(sidecar.did<StartRun>().size() == (row.runs ? 1U : 0U));
         if (!row.runs)
             BOOST_TEST((sidecar.refusal().redirect == sidecar.id(1)) == row.redirected);
         if (!row.redirected)
             continue;
-        // Refused by the holder too, the router returns: redirecting it for ever helps nobody.
+        // The holder refused too and the router returns: another redirect would only repeat this
+        // forever.
         sidecar.from(chatRequest(sidecar, "r1", 5));
         auto second = chatRequest(sidecar, "r1", 5);
         second.attempt = 3;
@@ -159,16 +162,16 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(run_away_from_home_tells_the_home)
+BOOST_AUTO_TEST_CASE(a_run_at_another_engine_notifies_the_chat_owner)
 {
     Sidecar sidecar(modelPool());
     auto submit = chatRequest(sidecar, "r1", 5);
     submit.movedFrom = sidecar.id(2);
     sidecar.from(submit);
-    const auto told = sidecar.did<SendToUpstreamPeer>();
-    BOOST_REQUIRE(told.size() == 1U);
-    BOOST_TEST(told.at(0).upstream == sidecar.id(2));
-    BOOST_TEST(std::get<Moved>(told.at(0).message).holder == sidecar.id(0));
+    const auto sent = sidecar.did<SendToUpstreamPeer>();
+    BOOST_REQUIRE(sent.size() == 1U);
+    BOOST_TEST(sent.at(0).upstream == sidecar.id(2));
+    BOOST_TEST(std::get<Moved>(sent.at(0).message).holder == sidecar.id(0));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/core/sidecar-life-test.cc
+++ b/test/core/sidecar-life-test.cc
@@ -3,7 +3,7 @@
 using namespace applehatch::core;
 using namespace applehatch::core::test::sidecar;
 
-BOOST_AUTO_TEST_SUITE(sidecar_life)
+BOOST_AUTO_TEST_SUITE(sidecar_lifecycle)
 
 BOOST_AUTO_TEST_CASE(request_runs_and_its_whole_answer_reaches_the_link)
 {
@@ -23,14 +23,15 @@
     BOOST_TEST(sidecar.node().counts().running == 0U);
 }
 
-// Each of these must be refused before the upstream sees it, and the caller told that it did not
-// run: the router slept and sends late, names an earlier life, or the sidecar is not ready.
+// Each of these must be refused before the upstream sees it, with the caller informed that it did
+// not run: the router was stalled and sends late, names an earlier incarnation, or the sidecar is
+// not ready.
 BOOST_AUTO_TEST_CASE(refused_on_arrival)
 {
     struct Row
     {
-        std::function<void(Sidecar &, Submit &)> spoil;
-        std::string told;
+        std::function<void(Sidecar &, Submit &)> modify;
+        std::string expected;
     };
     const std::vector<Row> rows = {
         {[](Sidecar &sidecar, Submit &submit) { submit.notAfter = sidecar.now; },
@@ -49,12 +50,13 @@
     for (const auto &row : rows) {
         Sidecar sidecar(poolOf(1, 8));
         auto submit = sidecar.request("r1");
-        row.spoil(sidecar, submit);
+        row.modify(sidecar, submit);
         sidecar.from(submit);
-        BOOST_TEST(told(sidecar.refusal()) == row.told);
+        BOOST_TEST(outcomeOf(sidecar.refusal()) == row.expected);
         BOOST_TEST(sidecar.refusal().failure.retryAfter.has_value());
         BOOST_TEST(sidecar.did<StartRun>().empty());
-        // The same attempt arrives twice, once the fault is over: it was called "not run".
+        // The attempt arrives twice, the second time after the fault is over. It was reported as
+        // not run and must not run.
         sidecar.report("epoch-1");
         auto duplicate = sidecar.request("r1");
         sidecar.from(duplicate);
@@ -62,9 +64,10 @@
     }
 }
 
-// The router gives up on an attempt and revokes it; the revoke overtakes the submit on a new
-// link. Ran it afterwards, the caller would have been told "not run" of a request that ran.
-BOOST_AUTO_TEST_CASE(revoke_wins_wherever_it_meets_the_attempt)
+// The router gives up on an attempt and revokes it, and the revoke overtakes the submit on a new
+// link. If the submit ran afterwards, the caller would have been informed that a request did not
+// run that then ran.
+BOOST_AUTO_TEST_CASE(revoke_wins_at_every_stage_of_the_attempt)
 {
     struct Row
     {
@@ -98,9 +101,9 @@
     }
 }
 
-// A sidecar restarts while a request runs. Its next life knows nothing of it and must not call it
-// "not run" when the router, not knowing which life it asked, revokes it.
-BOOST_AUTO_TEST_CASE(young_sidecar_does_not_vouch_for_its_earlier_life)
+// A sidecar restarts while a request runs. The new incarnation has no record of it and must not
+// report it as not run when the router, which does not know the incarnation it asked, revokes it.
+BOOST_AUTO_TEST_CASE(restarted_sidecar_does_not_answer_for_its_earlier_incarnation)
 {
     for (const auto target : {Incarnation{0}, Incarnation{6}}) {
         Sidecar sidecar(poolOf(1, 1));
@@ -113,7 +116,8 @@
     BOOST_TEST((old.sent<Revoked>().at(0).run == Run::NotRun));
 }
 
-// The same submit arrives twice, on two links. Run twice, the caller gets two answers.
+// The same submit arrives twice, on two links. If it ran twice, the caller would receive two
+// answers.
 BOOST_AUTO_TEST_CASE(duplicate_submit_joins_the_first)
 {
     Sidecar sidecar(poolOf(1, 8));
@@ -127,16 +131,16 @@
     sidecar.give(RunEnd{run});
     BOOST_TEST(sidecar.sent<End>(1).size() == 1U);
     BOOST_TEST(sidecar.sent<End>(2).size() == 1U);
-    // Even long after its answer is gone.
+    // The same holds long after its answer expired.
     sidecar.pass(70s);
     auto late = submit;
     late.notAfter = sidecar.now + 1s;
     sidecar.from(late);
-    BOOST_TEST(told(sidecar.refusal()) == "answer-lost/ran");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "answer-lost/ran");
 }
 
-// The deadline passes while the upstream still answers: it is stopped, and nobody is told that
-// it did not run.
+// The deadline passes while the upstream is still answering: the run is stopped and never reported
+// as not run.
 BOOST_AUTO_TEST_CASE(passing_deadline_stops_the_run)
 {
     Sidecar sidecar(poolOf(1, 8));
@@ -145,17 +149,18 @@
     sidecar.run(submit);
     sidecar.pass(2s);
     BOOST_TEST(sidecar.did<CancelRun>().size() == 1U);
-    BOOST_TEST(told(sidecar.refusal()) == "deadline-exceeded/ran");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "deadline-exceeded/ran");
     BOOST_TEST(sidecar.node().counts().running == 0U);
 }
 
-// The upstream breaks off. The caller must be told so, never be given a short answer as whole.
+// The upstream fails in mid-answer. The caller must receive an error, never a truncated answer
+// marked as complete.
 BOOST_AUTO_TEST_CASE(broken_runs_never_end_an_answer)
 {
     struct Row
     {
         RunBreak how;
-        std::string told;
+        std::string expected;
     };
     const std::vector<Row> rows = {{RunBreak::NeverSent, "upstream-failed/not-run"},
                                    {RunBreak::Lost, "upstream-failed/ran"},
@@ -170,14 +175,14 @@
         sidecar.pass(400ms).report("epoch-1");
         sidecar.last.assign(sidecar.all.begin() + static_cast<std::ptrdiff_t>(before),
                             sidecar.all.end());
-        BOOST_TEST(told(sidecar.refusal()) == row.told);
+        BOOST_TEST(outcomeOf(sidecar.refusal()) == row.expected);
         BOOST_TEST(sidecar.sent<End>().empty());
         BOOST_TEST(sidecar.node().counts().running == 0U);
     }
 }
 
-// A late copy of an earlier attempt meets a request that was refused while waiting, and is told
-// that failure too. Another copy of it, arriving once all is forgotten, must not run after that.
+// A late copy of an earlier attempt joins a request that was refused while waiting and receives the
+// same refusal. Another copy of it, which arrives after the request was forgotten, must not run.
 BOOST_AUTO_TEST_CASE(joining_a_refused_request_is_final)
 {
     Sidecar sidecar(poolOf(1, 1));
@@ -185,16 +190,16 @@
     sidecar.from(sidecar.request("r1", 2)).passAlive(6s);
     const auto earlier = sidecar.request("r1", 1);
     sidecar.from(earlier);
-    BOOST_TEST(told(sidecar.refusal()) == "overloaded/not-run");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "overloaded/not-run");
     sidecar.from(Acknowledge{"r1", 0, true}).passAlive(54s);
     BOOST_TEST(sidecar.node().counts().running == 0U);
     sidecar.from(earlier);
-    BOOST_TEST(told(sidecar.refusal()) == "revoked/not-run");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "revoked/not-run");
 }
 
-// A copy of a submit is so late that its deadline has passed. It ran, long before; for being late
-// it must not be called "not run".
-BOOST_AUTO_TEST_CASE(late_copy_of_what_ran_is_not_called_not_run)
+// A copy of a submit arrives after its deadline. The request ran long before, so the late copy must
+// not be reported as not run.
+BOOST_AUTO_TEST_CASE(late_copy_of_a_request_that_ran_is_not_reported_not_run)
 {
     Sidecar sidecar(poolOf(1, 1));
     const auto submit = sidecar.request("r1");
@@ -202,12 +207,12 @@
     sidecar.from(Acknowledge{"r1", 3, true}).pass(61s);
     BOOST_TEST((submit.notAfter <= sidecar.now));
     sidecar.from(submit);
-    BOOST_TEST(told(sidecar.refusal()) == "answer-lost/ran");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "answer-lost/ran");
 }
 
-// New settings shorten the longest deadline while an old request is on its way in two copies. The
-// second comes long after the first, still before its own deadline, and must not run.
-BOOST_AUTO_TEST_CASE(what_ran_is_remembered_until_its_deadline)
+// New settings shorten the maximum deadline while two copies of an old request are in flight. The
+// second copy arrives long after the first, still before its own deadline, and must not run.
+BOOST_AUTO_TEST_CASE(a_request_that_ran_is_remembered_until_its_deadline)
 {
     Sidecar sidecar(poolOf(1, 1));
     auto shorter = sidecar.pool();
@@ -218,12 +223,12 @@
     sidecar.answer(sidecar.run(submit), "abc");
     sidecar.from(Acknowledge{"r1", 3, true}).pass(250s);
     sidecar.from(submit);
-    BOOST_TEST(told(sidecar.refusal()) == "answer-lost/ran");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "answer-lost/ran");
 }
 
-// Two requests share a key and its run never began. Each hears of its own attempt only: named
-// after the other's, the refusal would call an attempt "not run" that may still come and run.
-BOOST_AUTO_TEST_CASE(resume_hears_of_its_own_attempt)
+// Two requests share a key whose run never began. Each refusal must name its own attempt: with the
+// other's attempt number it would report an attempt as not run that may still arrive and run.
+BOOST_AUTO_TEST_CASE(resume_is_refused_with_its_own_attempt)
 {
     Sidecar sidecar(poolOf(1, 1));
     const auto run = sidecar.run(sidecar.keyed("r1", "k"));
@@ -232,7 +237,7 @@
     sidecar.from(second).give(RunBroken{run, RunBreak::NeverSent});
     sidecar.from(Resume{"r1", "tai/c1", 0});
     BOOST_TEST(sidecar.refusal().attempt == 1U);
-    BOOST_TEST(told(sidecar.refusal()) == "upstream-failed/not-run");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "upstream-failed/not-run");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/core/sidecar-orders-test.cc
+++ b/test/core/sidecar-orders-test.cc
@@ -13,7 +13,7 @@
     return pool;
 }
 
-// Answers the order that a new sidecar gives to an engine that holds nothing.
+// Answers the order that a new sidecar sends to an engine without models.
 auto settle(Sidecar &sidecar) -> std::uint64_t
 {
     const auto given = Sidecar::pick<GiveOrder>(sidecar.all);
@@ -22,7 +22,7 @@
     return given.at(0).fence;
 }
 
-// The members by id, so that a rollout's ranks are known: 0 begins first.
+// Returns the rank of member 0 in a rollout, which goes by member id; rank 0 begins first.
 auto rankOfFirst(const Pool &pool) -> std::size_t
 {
     return static_cast<std::size_t>(
@@ -34,12 +34,12 @@
 
 BOOST_AUTO_TEST_SUITE(sidecar_orders)
 
-BOOST_AUTO_TEST_CASE(engine_is_brought_to_what_the_settings_say)
+BOOST_AUTO_TEST_CASE(engine_converges_to_its_settings)
 {
     Sidecar sidecar(enginePool({"a", "b"}));
     BOOST_TEST((sidecar.node().state() == UpstreamState::Joining));
     sidecar.from(sidecar.request("r1"));
-    BOOST_TEST(told(sidecar.refusal()) == "no-upstream/not-run");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "no-upstream/not-run");
     sidecar.report("epoch-1");
     const auto first = Sidecar::pick<GiveOrder>(sidecar.all);
     BOOST_REQUIRE(first.size() == 1U);
@@ -56,7 +56,7 @@
     BOOST_TEST((sidecar.node().state() == UpstreamState::Serving));
 }
 
-// The weight store refuses beyond its rate. Asking again at once would keep all others out.
+// The weight store refuses requests above its rate. An immediate retry would keep out all others.
 BOOST_AUTO_TEST_CASE(refused_orders_back_off)
 {
     Sidecar sidecar(enginePool({"a"}));
@@ -74,8 +74,8 @@
     BOOST_TEST((gaps.at(3) <= 17s));
 }
 
-// A sidecar sleeps; meanwhile its successor gives orders under newer settings. Its own order would
-// put the engine back. While nobody else gave one, it goes on.
+// A sidecar is suspended, and its successor sends orders under newer settings meanwhile. The old
+// sidecar's own order would revert the engine. If nobody else sent an order, it continues.
 BOOST_AUTO_TEST_CASE(late_waker_gives_no_old_order)
 {
     using applehatch::settings::Fencing;
@@ -99,7 +99,8 @@
     }
 }
 
-// An engine that ignores fencing numbers is re-read after a pause, before any order.
+// The state of an engine that ignores fencing numbers is read again after a stall, before any
+// order.
 BOOST_AUTO_TEST_CASE(ignored_fences_mean_reading_again)
 {
     auto pool = enginePool({"a"});
@@ -116,9 +117,9 @@
     BOOST_TEST(Sidecar::pick<GiveOrder>(sidecar.all).size() == 2U);
 }
 
-// A host died for good and nobody has taken its member out of the settings yet. It must not hold
-// every rollout of its pool, once the platform no longer lists it.
-BOOST_AUTO_TEST_CASE(gone_hosts_do_not_hold_a_rollout)
+// A host died permanently and its member is still in the settings. It must not block every rollout
+// of its pool once the platform no longer lists it.
+BOOST_AUTO_TEST_CASE(unlisted_hosts_do_not_block_a_rollout)
 {
     for (const auto isListed : {true, false}) {
         auto pool = enginePool({"old"}, 2);
@@ -134,33 +135,33 @@
     }
 }
 
-// All engines of a pool change their model. Did all begin at once, the pool would serve nobody.
-BOOST_AUTO_TEST_CASE(rollout_goes_by_turn)
+// All engines of a pool change their model. If all began at once, the pool would serve nobody.
+BOOST_AUTO_TEST_CASE(rollout_proceeds_by_rank)
 {
     auto pool = enginePool({"old"}, 3);
     Sidecar sidecar(pool);
     settle(sidecar);
-    sidecar.hear(1, 2).hear(2, 2).report("epoch-1", {"old"});
+    sidecar.receiveLoad(1, 2).receiveLoad(2, 2).report("epoch-1", {"old"});
     const auto run = sidecar.run(sidecar.request("r1"));
     pool.models = {"old", "new"};
     sidecar.give(SettingsInForce{settingsOf(pool, 2)});
-    sidecar.hear(1, 2, UpstreamState::Joining);
+    sidecar.receiveLoad(1, 2, UpstreamState::Joining);
     for (int second = 0; second < 30; ++second) {
-        sidecar.hear(1, 2, UpstreamState::Joining).hear(2, 2).passAlive(1s);
+        sidecar.receiveLoad(1, 2, UpstreamState::Joining).receiveLoad(2, 2).passAlive(1s);
         BOOST_TEST(sidecar.did<GiveOrder>().empty());
     }
     std::size_t waited = 0;
     while (sidecar.did<GiveOrder>().empty() && waited < 20) {
-        sidecar.hear(1, 2).hear(2, 2).passAlive(1s);
+        sidecar.receiveLoad(1, 2).receiveLoad(2, 2).passAlive(1s);
         ++waited;
     }
-    const auto step = 2U; // Digest periods for a pool of three.
+    const auto step = 2U; // In digest intervals, for a pool of three.
     BOOST_TEST(waited >= rankOfFirst(pool) * step);
     BOOST_TEST(waited <= rankOfFirst(pool) * step + 2);
     BOOST_TEST((sidecar.node().state() == UpstreamState::Joining));
     const auto load = sidecar.did<GiveOrder>().at(0);
     BOOST_TEST(load.model == "new");
-    // An unload waits until no run could be cut off by it.
+    // An unload waits until it can interrupt no run.
     pool.models = {"new"};
     sidecar.give(SettingsInForce{settingsOf(pool, 3)});
     sidecar.give(OrderAnswered{load.fence, true, ""}).passAlive(2s);
--- a/test/core/sidecar-parts-test.cc
+++ b/test/core/sidecar-parts-test.cc
@@ -11,9 +11,9 @@
 
 BOOST_AUTO_TEST_SUITE(sidecar_parts)
 
-// Memory for answers runs out. Finished ones go first, oldest first; then the running one that its
-// router is slowest to take.
-BOOST_AUTO_TEST_CASE(answers_give_way_in_order)
+// Memory for answers is exhausted. Finished answers are evicted first, oldest first; then the
+// running one whose router reads most slowly.
+BOOST_AUTO_TEST_CASE(answers_are_evicted_in_order)
 {
     AnswerStore store({100, 60, 10s});
     for (std::uint64_t run = 1; run <= 4; ++run)
@@ -56,7 +56,7 @@
     BOOST_TEST(late.hash() == 0U);
 }
 
-// The table of keys is full. Forgetting one for another would run it twice.
+// The table of keys is full. If one key were evicted for another, it could run twice.
 BOOST_AUTO_TEST_CASE(live_keys_are_never_forgotten)
 {
     RunOnceTable table(2, 10);
@@ -74,27 +74,27 @@
     BOOST_TEST(table.size() == 1U);
 }
 
-// Two crashes make a suspect, however often their notices arrive; a request that finishes is
-// cleared, and late gossip must not accuse it again.
+// Two crashes make a request a suspect, however often their notices arrive. A request that finishes
+// is cleared, and late gossip must not make it a suspect again.
 BOOST_AUTO_TEST_CASE(crash_notices)
 {
-    CrashBook book(100);
-    const auto notice = [](Incarnation life, std::uint32_t sequence) {
-        return CrashNotice{5, {1, life}, sequence, 10s};
+    CrashBook tracker(100);
+    const auto notice = [](Incarnation incarnation, std::uint32_t sequence) {
+        return CrashNotice{5, {1, incarnation}, sequence, 10s};
     };
-    BOOST_TEST(book.apply(notice(1, 1), Instant{}));
-    BOOST_TEST(!book.apply(notice(1, 1), Instant{}));
-    BOOST_TEST(!book.isSuspect(5, Instant{}));
-    BOOST_TEST(book.apply(notice(1, 2), Instant{}));
-    BOOST_TEST(book.isSuspect(5, Instant{9s}));
-    BOOST_TEST(!book.isSuspect(5, Instant{10s}));
-    book.clear(5, Instant{});
-    BOOST_TEST(!book.apply(notice(1, 2), Instant{}));
-    BOOST_TEST(book.crashes(5, Instant{}) == 0U);
+    BOOST_TEST(tracker.apply(notice(1, 1), Instant{}));
+    BOOST_TEST(!tracker.apply(notice(1, 1), Instant{}));
+    BOOST_TEST(!tracker.isSuspect(5, Instant{}));
+    BOOST_TEST(tracker.apply(notice(1, 2), Instant{}));
+    BOOST_TEST(tracker.isSuspect(5, Instant{9s}));
+    BOOST_TEST(!tracker.isSuspect(5, Instant{10s}));
+    tracker.clear(5, Instant{});
+    BOOST_TEST(!tracker.apply(notice(1, 2), Instant{}));
+    BOOST_TEST(tracker.crashes(5, Instant{}) == 0U);
     CrashBook other(100);
     other.apply(notice(1, 1), Instant{});
-    for (const auto &told : book.notices(10, Instant{}))
-        other.apply(told, Instant{});
+    for (const auto &gossiped : tracker.notices(10, Instant{}))
+        other.apply(gossiped, Instant{});
     BOOST_TEST(other.crashes(5, Instant{}) == 0U);
 }
 
@@ -114,9 +114,9 @@
     BOOST_TEST(map.size() == 0U);
 }
 
-// Between data centres only sums may travel once a pool is large, or control traffic would grow
-// with the fleet; and no digest may exceed its datagram.
-BOOST_AUTO_TEST_CASE(digests_stay_within_their_bytes)
+// Between data centres only sums may be sent once a pool is large, or control traffic would grow
+// with the fleet. No digest may exceed its datagram.
+BOOST_AUTO_TEST_CASE(digests_stay_within_their_size_limit)
 {
     for (const auto members : {4U, 18U, 400U}) {
         auto pool = poolOf(members, 8);
@@ -129,10 +129,10 @@
         const GossipView view{pool, pool.members[0].id, "dc", 3, 1000};
         PoolSums sums;
         const CrashBook crashes(9);
-        DigestReader afar;
-        afar.isNear = false;
+        DigestReader remoteRecipient;
+        remoteRecipient.isNear = false;
         const auto near = composeDigest(view, loads, sums, crashes, {}, Instant{});
-        const auto far = composeDigest(view, loads, sums, crashes, afar, Instant{});
+        const auto far = composeDigest(view, loads, sums, crashes, remoteRecipient, Instant{});
         BOOST_TEST(near.entries.size() <= 20U);
         BOOST_TEST(near.entries.at(0).upstream == view.self);
         BOOST_TEST(far.entries.empty() == (members > 20));
@@ -148,8 +148,9 @@
     }
 }
 
-// A sidecar with old settings, an old life or one that slept must not undo a newer order.
-BOOST_AUTO_TEST_CASE(fencing_numbers_only_rise)
+// A sidecar with old settings, of an old incarnation or after a suspension must not undo a newer
+// order.
+BOOST_AUTO_TEST_CASE(fencing_numbers_only_increase)
 {
     FencingNumbers numbers(3);
     BOOST_TEST(numbers.observe(0));
@@ -164,10 +165,10 @@
     BOOST_TEST(!successor.next(9).has_value());
     BOOST_TEST((*successor.next(10) > *second));
 
-    FencingNumbers slept(3);
-    BOOST_TEST(slept.observe(5));
-    BOOST_TEST(!slept.observe(*second + 9));
-    BOOST_TEST(!slept.next(99).has_value());
+    FencingNumbers suspended(3);
+    BOOST_TEST(suspended.observe(5));
+    BOOST_TEST(!suspended.observe(*second + 9));
+    BOOST_TEST(!suspended.next(99).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(changes_unload_before_they_load)
--- a/test/core/sidecar-router-test.cc
+++ b/test/core/sidecar-router-test.cc
@@ -13,7 +13,7 @@
 
 constexpr std::size_t routers = 2;
 
-/// Two router nodes and the sidecars of one service pool, with messages carried at once.
+/// Two router nodes and the sidecars of one service pool, with messages delivered at once.
 class Fleet
 {
 public:
@@ -78,20 +78,20 @@
     auto toSidecar(UpstreamId id, SidecarEvent event) -> void
     {
         for (auto &action : sidecars_.at(id)->handle(std::move(event), now_))
-            waiting_.push_back([this, id, action] { carry(id, action); });
+            pending_.push_back([this, id, action] { carry(id, action); });
     }
 
     auto toRouter(std::size_t router, RouterEvent event) -> void
     {
         for (auto &action : routers_.at(router)->handle(std::move(event), now_))
-            waiting_.push_back([this, router, action] { carry(router, action); });
+            pending_.push_back([this, router, action] { carry(router, action); });
     }
 
     auto settle() -> void
     {
-        while (!waiting_.empty()) {
-            const auto next = std::move(waiting_.front());
-            waiting_.pop_front();
+        while (!pending_.empty()) {
+            const auto next = std::move(pending_.front());
+            pending_.pop_front();
             next();
         }
     }
@@ -136,7 +136,7 @@
     std::map<UpstreamId, std::unique_ptr<SidecarNode>> sidecars_;
     std::vector<std::unique_ptr<RouterNode>> routers_;
     std::set<std::pair<LinkId, UpstreamId>> up_;
-    std::deque<std::function<void()>> waiting_;
+    std::deque<std::function<void()>> pending_;
 };
 
 auto booking(const RequestId &id, const std::string &key, bool firstSend) -> CallerRequest
@@ -159,9 +159,9 @@
 
 BOOST_AUTO_TEST_SUITE(sidecar_and_router)
 
-// A caller books a repair and, not having heard, sends the key again to another router. Did the
-// two routers, or router and sidecar, not agree on the key's owner, it would be refused or run
-// twice.
+// A caller books a repair, receives no answer and sends the key again to another router. If the two
+// routers, or a router and a sidecar, did not agree on the owner of the key, it would be refused or
+// run twice.
 BOOST_AUTO_TEST_CASE(keys_run_once_through_any_router)
 {
     Fleet fleet;
@@ -181,7 +181,8 @@
     BOOST_TEST(owners.size() == 3U);
 }
 
-// The same with a ticket: the sends name one life of one upstream, wherever the key would go.
+// The same with a ticket: all sends name one incarnation of one upstream, whichever member owns the
+// key.
 BOOST_AUTO_TEST_CASE(tickets_run_once_through_any_router)
 {
     Fleet fleet;
--- a/test/core/sidecar-silence-test.cc
+++ b/test/core/sidecar-silence-test.cc
@@ -15,9 +15,9 @@
 
 BOOST_AUTO_TEST_SUITE(sidecar_silence)
 
-// The connection to the engine goes silent half way through an answer while new ones work. The
-// engine still holds the stream; its caller must get the rest and the engine must not run it again.
-BOOST_AUTO_TEST_CASE(a_stream_goes_on_over_a_new_connection)
+// The connection to the engine goes silent in mid-answer while new connections work. The engine
+// still holds the stream: its caller must receive the rest, and the engine must not run it again.
+BOOST_AUTO_TEST_CASE(a_stream_resumes_over_a_new_connection)
 {
     Sidecar sidecar(poolOf(1, 4));
     const auto run = sidecar.run(streamed(sidecar.request("r1")));
@@ -35,40 +35,41 @@
     BOOST_TEST(ends[0].hash == stableHash("begin rest"));
 }
 
-// The engine does not hold the stream any more, or every new connection goes silent too. The caller
-// is told, and the tries have an end.
-BOOST_AUTO_TEST_CASE(what_cannot_go_on_is_told)
+// The engine no longer holds the stream, or every new connection goes silent too. The caller
+// receives an error, and the number of tries is bounded.
+BOOST_AUTO_TEST_CASE(a_stream_that_cannot_resume_is_reported)
 {
-    for (const auto held : {false, true}) {
+    for (const auto holdsStream : {false, true}) {
         Sidecar sidecar(poolOf(1, 4));
         const auto run = sidecar.run(streamed(sidecar.request("r1")));
         sidecar.give(RunHead{run, 200, {}, false}).give(RunChunk{run, "begin "});
         sidecar.give(RunBroken{run, RunBreak::Silent});
         BOOST_REQUIRE(sidecar.did<StartRun>().size() == 1U);
-        if (held) {
+        if (holdsStream) {
             sidecar.give(RunBroken{run, RunBreak::Silent});
             sidecar.give(RunBroken{run, RunBreak::Silent});
         } else {
             sidecar.give(RunHead{run, 404, {}, false});
         }
-        BOOST_TEST(told(sidecar.refusal()) == "upstream-failed/ran");
+        BOOST_TEST(outcomeOf(sidecar.refusal()) == "upstream-failed/ran");
         BOOST_TEST(sidecar.node().counts().running == 0U);
     }
 }
 
-// A run-once call or a plain answer is not a stream that the upstream holds: it is told at once.
-BOOST_AUTO_TEST_CASE(only_streams_of_engines_go_on)
+// A run-once call or a plain answer is not a stream that the upstream holds, so its failure is
+// reported at once.
+BOOST_AUTO_TEST_CASE(only_streams_of_engines_resume)
 {
     Sidecar sidecar(poolOf(1, 4));
     const auto run = sidecar.run(sidecar.request("r1"));
     sidecar.give(RunHead{run, 200, {}, false}).give(RunChunk{run, "begin "});
     sidecar.give(RunBroken{run, RunBreak::Silent});
     BOOST_TEST(sidecar.did<StartRun>().empty());
-    BOOST_TEST(told(sidecar.refusal()) == "upstream-failed/ran");
+    BOOST_TEST(outcomeOf(sidecar.refusal()) == "upstream-failed/ran");
 }
 
-// A caller in a tunnel loses its connection and goes on through another router. The first router
-// gives the stream up when its 10 s are over; the caller must still get the rest.
+// A caller in a tunnel loses its connection and resumes through another router. The first router
+// gives the stream up after its 10 s; the caller must still receive the rest.
 BOOST_AUTO_TEST_CASE(a_stream_resumed_at_another_router_outlives_the_first_ones_revoke)
 {
     Sidecar sidecar(poolOf(1, 4));
