--- a/test/core/sidecar-load-test.cc
+++ b/test/core/sidecar-load-test.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Returns how many requests the sidecar countAdmitted at once before it refusesEarly one.
+// Returns how many requests the sidecar admits at once before it refuses one.
 auto countAdmitted(Sidecar &sidecar, const std::string &prefix = "r") -> std::uint32_t
 {
     for (std::uint32_t taken = 0;; ++taken) {
