--- a/include/applehatch/process/address-book.h
+++ b/include/applehatch/process/address-book.h
@@ -1,4 +1,4 @@
-/// Where upstreams' sidecars can be reached, by the settings in force.
+/// Network addresses of upstreams and their sidecars, as given by the settings in force.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -13,28 +13,32 @@
 
 namespace applehatch::process {
 
-/// Thread-safe; its lock is held around look-ups only.
-class AddressBook
+/// Maps upstream ids to addresses. Thread-safe; the lock is held only during lookups and updates.
+class AddressTable
 {
 public:
-    /// Takes the members of `settings`; gives the sidecar addresses that members have left for
-    /// others. A member that the settings no longer name stays known until it is forgotten: answers
-    /// under way still come from it, and a link that was closed on them would cut them off.
+    /// Replaces the members with those of `settings` and returns the sidecar addresses that members
+    /// moved away from and that no other member uses. A member that the settings no longer name is
+    /// kept until `forget` is called: it may still be sending answers, and closing its link would
+    /// cut them off.
     [[nodiscard]] auto update(const settings::Settings &settings) -> std::vector<core::Address>;
 
-    /// The members that the settings no longer name.
+    /// Returns the members that are kept although the settings no longer name them.
     [[nodiscard]] auto retired() const -> std::vector<core::UpstreamId>;
 
-    /// Ends the memory of a retired member; nothing for any other.
+    /// Removes a retired member; has no effect on any other member.
     auto forget(core::UpstreamId upstream) -> void;
 
+    /// Returns the address of the sidecar's links, or nothing when the upstream is unknown.
     [[nodiscard]] auto sidecar(core::UpstreamId upstream) const -> std::optional<core::Address>;
+
+    /// Returns the sidecar's address for digests, or nothing when the upstream is unknown.
     [[nodiscard]] auto digest(core::UpstreamId upstream) const -> std::optional<core::Address>;
 
-    /// The engine or plain service itself; for KV cache handoff only.
+    /// Returns the address of the engine or plain service itself; used only for KV cache handoff.
     [[nodiscard]] auto upstream(core::UpstreamId upstream) const -> std::optional<core::Address>;
 
-    /// The upstream whose sidecar listens at `address`; 0 when unknown.
+    /// Returns the upstream whose sidecar listens at `address`, or 0 when there is none.
     [[nodiscard]] auto upstreamAt(const core::Address &address) const -> core::UpstreamId;
 
 private:
@@ -48,7 +52,8 @@
     mutable std::shared_mutex mutex_;
     std::unordered_map<core::UpstreamId, settings::Member> members_;
     std::map<Key, core::UpstreamId> byAddress_;
-    std::set<core::UpstreamId> retired_; ///< Members that are kept beside those of the settings.
+    std::set<core::UpstreamId>
+        retired_; ///< Members of `members_` that the settings no longer name.
 };
 
 } // namespace applehatch::process
--- a/include/applehatch/process/admin-server.h
+++ b/include/applehatch/process/admin-server.h
@@ -1,4 +1,4 @@
-/// The HTTP server for operators and the balancer: metrics, health, administration.
+/// HTTP server for operators and the load balancer: metrics, health checks, administration.
 #pragma once
 
 #include "applehatch/admin/api.h"
@@ -9,17 +9,18 @@
 
 namespace applehatch::process {
 
-/// What the balancer asks.
+/// State that the load balancer queries through the health checks.
 struct Health
 {
     std::function<bool()> ready;
     std::function<bool()> draining;
 };
 
-/// Answers `/health/live`, `/health/ready` and `/health/draining`; false for another path.
+/// Answers `/health/live`, `/health/ready` and `/health/draining`; returns false without answering
+/// for any other path.
 [[nodiscard]] auto answerHealth(HttpExchange &exchange, const Health &health) -> bool;
 
-/// Serves `/metrics`, `/health/...` and the administration API on their own address.
+/// Serves `/metrics`, `/health/...` and the administration API on a separate address.
 class AdminServer
 {
 public:
--- a/include/applehatch/process/drain.h
+++ b/include/applehatch/process/drain.h
@@ -1,4 +1,4 @@
-/// The end of a process: asked for, drained or cut short.
+/// Shutdown state of a process: stop requested, drained or cut short.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -8,20 +8,21 @@
 
 namespace applehatch::process {
 
-/// Lets the main thread wait for the end. Thread-safe.
+/// Lets the main thread wait for a stop request and for the drain that follows. Thread-safe.
 class Drain
 {
 public:
-    /// A stop was asked for; the second time cuts the work short.
+    /// Requests a stop. A second call cuts the drain short.
     auto request() -> void;
 
-    /// The node has nothing in flight.
+    /// Reports that the node has nothing in flight.
     auto done() -> void;
 
-    /// Waits for the first request to stop.
+    /// Blocks until a stop is first requested.
     auto waitForRequest() -> void;
 
-    /// Waits up to `deadline` for the node to drain; false when it was cut short.
+    /// Blocks for up to `deadline` until the node has drained. Returns false when the deadline
+    /// passed or a second stop request came first.
     [[nodiscard]] auto waitForDone(core::Duration deadline) -> bool;
 
 private:
--- a/include/applehatch/process/http-server.h
+++ b/include/applehatch/process/http-server.h
@@ -1,4 +1,4 @@
-/// An HTTP server over CivetWeb: one thread for each connection.
+/// HTTP server on top of CivetWeb, with one thread per connection.
 #pragma once
 
 #include "applehatch/core/message.h"
@@ -14,16 +14,17 @@
 
 namespace applehatch::process {
 
-/// How reading a request's body ended.
+/// Result of reading a request's body.
 enum class BodyRead {
-    Whole,
+    Complete,
     TooLarge,
-    Broken, ///< The caller left or its body cannot be read.
+    Incomplete, ///< The caller disconnected or the body cannot be read.
 };
 
-/// One request and the answer to it; used by the thread that serves it only.
+/// One request and its answer. Used only by the thread that serves the request.
 ///
-/// Each write says whether it reached the connection; after the first `false` the caller is gone.
+/// Each write returns whether it reached the connection; after the first `false` the caller has
+/// disconnected.
 class HttpExchange
 {
 public:
@@ -31,38 +32,38 @@
 
     [[nodiscard]] auto method() const -> std::string_view;
     [[nodiscard]] auto path() const -> std::string_view;  ///< As sent, not decoded.
-    [[nodiscard]] auto query() const -> std::string_view; ///< Empty without one.
-    [[nodiscard]] auto header(const char *name) const -> std::string_view; ///< Empty without one.
+    [[nodiscard]] auto query() const -> std::string_view; ///< Empty when there is none.
+    [[nodiscard]] auto header(const char *name) const -> std::string_view; ///< Empty if absent.
     [[nodiscard]] auto headers() const -> core::Headers;
     [[nodiscard]] auto remoteIp() const -> std::string_view;
 
-    /// Whether the caller closed its side since its request was read. A caller that closes only its
-    /// sending side counts as gone too.
-    [[nodiscard]] auto callerLeft() -> bool;
+    /// Returns whether the caller has closed its side of the connection since its request was read.
+    /// A caller that closes only its sending side counts as disconnected too.
+    [[nodiscard]] auto callerDisconnected() -> bool;
 
     /// Reads the whole body into `body`, up to `limit` bytes.
     [[nodiscard]] auto readBody(std::size_t limit, std::string &body) -> BodyRead;
 
-    /// Sends a whole answer, with its length.
+    /// Sends a complete answer with its length.
     [[nodiscard]] auto respond(int status, const core::Headers &headers, std::string_view body)
         -> bool;
 
-    /// Begins an answer of unknown length; parts follow.
+    /// Begins an answer of unknown length, to be followed by `streamPart` and `endStream`.
     [[nodiscard]] auto beginStream(int status, const core::Headers &headers) -> bool;
     [[nodiscard]] auto streamPart(std::string_view data) -> bool;
     [[nodiscard]] auto endStream() -> bool;
 
 private:
     mg_connection *connection_;
-    int socket_ = -1;     ///< Found at the first look; the library's.
-    bool chunked_ = true; ///< HTTP/1.0 knows no chunks: the end is the connection's.
+    int socket_ = -1;     ///< Looked up on first use; owned by the library.
+    bool chunked_ = true; ///< False for HTTP/1.0, which ends a body by closing.
 };
 
 struct HttpServerOptions
 {
-    core::Address address; ///< Port 0 picks a free one.
-    int threads = 4;       ///< Most callers served at once; more wait for their turn.
-    core::Duration ioTimeout = std::chrono::seconds(30); ///< For a read or write that stalls.
+    core::Address address; ///< Port 0 selects a free port.
+    int threads = 4;       ///< Callers served at once; further callers wait.
+    core::Duration ioTimeout = std::chrono::seconds(30); ///< For a stalled read or write.
 };
 
 class HttpServer
@@ -72,12 +73,13 @@
 
     HttpServer();
 
-    /// Stops accepting and waits for the handlers to end.
+    /// Stops accepting connections and waits for the running handlers to return.
     ~HttpServer();
     HttpServer(const HttpServer &) = delete;
     auto operator=(const HttpServer &) -> HttpServer & = delete;
 
-    /// Binds and serves; once. Error: `std::errc::address_not_available`.
+    /// Binds and starts serving; may be called once. `bound` receives the address with the actual
+    /// port. Error: `std::errc::address_not_available`.
     [[nodiscard]] auto start(const HttpServerOptions &options, Handler handler,
                              core::Address &bound) -> std::error_code;
 
--- a/include/applehatch/process/node-runner.h
+++ b/include/applehatch/process/node-runner.h
@@ -1,4 +1,4 @@
-/// Calls one node under a lock and carries its actions out in order.
+/// Serializes calls to a node and performs its actions in order.
 #pragma once
 
 #include "applehatch/telemetry/clock.h"
@@ -10,19 +10,20 @@
 
 namespace applehatch::process {
 
-/// Any thread hands in events; actions are carried out outside the lock, in the order in which the
-/// node gave them.
+/// Accepts events from any thread. Actions are performed outside the lock, in the order in which
+/// the node returned them.
 ///
-/// Without the one order two threads could send a `Submit` and its `Revoke` the wrong way round,
-/// and a revoked request would run. The thread that finds nobody acting acts for all until nothing
-/// is left; others leave their actions to it, so an action must never block.
+/// Without a single order two threads could send a `Submit` and its `Revoke` in reverse, and a
+/// revoked request would run. A thread that finds no other thread performing actions performs the
+/// queued actions of all threads until none is left; other threads only queue theirs. An action
+/// must therefore never block.
 template <typename Node, typename Event, typename Action>
 class NodeRunner
 {
 public:
     template <typename... Arguments>
-    explicit NodeRunner(std::function<void(Action &)> act, Arguments &&...arguments)
-        : act_(std::move(act))
+    explicit NodeRunner(std::function<void(Action &)> perform, Arguments &&...arguments)
+        : perform_(std::move(perform))
         , node_(std::forward<Arguments>(arguments)...)
     { }
 
@@ -31,8 +32,8 @@
         handle(std::move(event), [](Action &) { return false; });
     }
 
-    /// As above, but first shows each action to `take`, under the lock; one for which it gives true
-    /// is left to it. For answers that belong to the one who sent the event.
+    /// Like `handle(event)`, but first passes each action to `take`, under the lock. An action for
+    /// which `take` returns true is not performed here: it answers the sender of the event.
     template <typename Take>
     auto handle(Event event, Take take) -> void
     {
@@ -40,40 +41,40 @@
         auto actions = node_.handle(std::move(event), telemetry::steadyNow());
         for (auto &action : actions) {
             if (!take(action))
-                waiting_.push_back(std::move(action));
+                pending_.push_back(std::move(action));
         }
-        if (acting_)
+        if (performing_)
             return;
-        acting_ = true;
-        actWaiting(lock);
-        acting_ = false;
+        performing_ = true;
+        performPending(lock);
+        performing_ = false;
     }
 
-    /// Runs `ask` on the node under the lock.
-    template <typename Ask>
-    auto read(Ask ask) const
+    /// Calls `query` with the node under the lock and returns its result.
+    template <typename Query>
+    auto read(Query query) const
     {
         const std::lock_guard lock(mutex_);
-        return ask(node_);
+        return query(node_);
     }
 
 private:
-    auto actWaiting(std::unique_lock<std::mutex> &lock) -> void
+    auto performPending(std::unique_lock<std::mutex> &lock) -> void
     {
-        while (!waiting_.empty()) {
-            auto taken = std::exchange(waiting_, {});
+        while (!pending_.empty()) {
+            auto taken = std::exchange(pending_, {});
             lock.unlock();
             for (auto &action : taken)
-                act_(action);
+                perform_(action);
             lock.lock();
         }
     }
 
-    std::function<void(Action &)> act_;
-    mutable std::mutex mutex_; ///< Guards all below.
+    std::function<void(Action &)> perform_;
+    mutable std::mutex mutex_; ///< Guards the members below.
     Node node_;
-    std::vector<Action> waiting_;
-    bool acting_ = false;
+    std::vector<Action> pending_;
+    bool performing_ = false;
 };
 
 } // namespace applehatch::process
--- a/include/applehatch/process/peer-links.h
+++ b/include/applehatch/process/peer-links.h
@@ -1,4 +1,4 @@
-/// Links that this process opens, one for each peer address.
+/// Outgoing links of this process, one per peer address.
 #pragma once
 
 #include "applehatch/wire/link-loop.h"
@@ -11,36 +11,37 @@
 
 namespace applehatch::process {
 
-/// Maps peer addresses to the links to them. Thread-safe; its lock is held around calls that only
-/// queue.
+/// Maps peer addresses to outgoing links. Thread-safe; the lock is held only during lookups and
+/// calls that queue work on the loop.
 class PeerLinks
 {
 public:
     explicit PeerLinks(wire::LinkLoop &loop);
 
-    /// Opens a link unless there is one.
+    /// Opens a link to `peer` unless one exists.
     auto open(const core::Address &peer) -> void;
 
-    /// Sends over the link to `peer`, which is opened when there is none.
+    /// Sends `message` over the link to `peer`, opening one if necessary.
     auto send(const core::Address &peer, core::Message message) -> void;
 
-    /// Closes the link to `peer`.
+    /// Closes the link to `peer`, if any.
     auto drop(const core::Address &peer) -> void;
 
-    /// The peer of a link opened here and still wanted.
+    /// Returns the peer of an outgoing link, or nothing for any other link or one that was dropped.
     [[nodiscard]] auto peerOf(wire::LinkId link) -> std::optional<core::Address>;
 
-    /// Whether this is the link's first heartbeat; the link is usable from then on.
+    /// Records a heartbeat and returns whether it is the link's first; the link is usable from then
+    /// on.
     [[nodiscard]] auto firstHeartbeat(wire::LinkId link) -> bool;
 
-    /// Forgets a link that went down and gives its peer.
-    [[nodiscard]] auto takeDown(wire::LinkId link) -> std::optional<core::Address>;
+    /// Removes a link that went down and returns its peer.
+    [[nodiscard]] auto removeLink(wire::LinkId link) -> std::optional<core::Address>;
 
 private:
     struct Peer
     {
         core::Address address;
-        bool heard = false;
+        bool heartbeatReceived = false;
     };
 
     using Key = std::pair<std::string, std::uint16_t>;
@@ -53,7 +54,7 @@
     std::unordered_map<wire::LinkId, Peer> peers_;
 };
 
-/// Logs what a link held when this side closed it.
+/// Logs the backlog that a link had when this side closed it.
 auto logClosedLink(wire::LinkId link, const wire::LinkBacklog &backlog) -> void;
 
 } // namespace applehatch::process
--- a/include/applehatch/process/periodic.h
+++ b/include/applehatch/process/periodic.h
@@ -1,4 +1,4 @@
-/// A thread that repeats a task until it is destroyed.
+/// Background thread that runs a task periodically.
 #pragma once
 
 #include "applehatch/core/identity.h"
@@ -10,17 +10,19 @@
 
 namespace applehatch::process {
 
-/// Runs `task` again and again; a run that takes long delays the next one.
+/// Runs a task repeatedly on its own thread until destroyed. A run that takes long delays the next
+/// one.
 class Periodic
 {
 public:
-    /// Waits `period` before each run.
-    Periodic(core::Duration period, std::function<void()> task);
+    /// Waits for `interval` before each run.
+    Periodic(core::Duration interval, std::function<void()> task);
 
-    /// Waits before each run for what `wait` then gives; both are called on the one thread.
+    /// Waits before each run for the time that `wait` returns; both functions are called on this
+    /// object's thread.
     Periodic(std::function<core::Duration()> wait, std::function<void()> task);
 
-    /// Waits for a running task to end.
+    /// Stops the thread, waiting for a running task to return.
     ~Periodic();
     Periodic(const Periodic &) = delete;
     auto operator=(const Periodic &) -> Periodic & = delete;
--- a/include/applehatch/process/program.h
+++ b/include/applehatch/process/program.h
@@ -1,4 +1,4 @@
-/// The life of a program from its command line to its exit code; the same in both.
+/// Start, run and shutdown sequence shared by the router and the sidecar programs.
 #pragma once
 
 #include "applehatch/process/command-line.h"
@@ -12,10 +12,11 @@
 
 namespace applehatch::process {
 
-/// Logs that a process cannot start and gives its exit code.
+/// Logs that the process cannot start and returns its exit code.
 [[nodiscard]] auto failToStart(std::error_code error) -> ExitCode;
 
-/// Runs `host`, which has `start`, `requestDrain`, `inFlight` and `drain`, until it is stopped.
+/// Runs `host` until it is stopped and returns the exit code. `Host` provides `start`,
+/// `requestDrain`, `inFlight` and `drain`.
 template <typename Host>
 [[nodiscard]] auto runHost(Host &host, const settings::ProcessFile &file) -> ExitCode
 {
@@ -31,11 +32,11 @@
         telemetry::writeLog(telemetry::LogLevel::Info, core::LogLine("stopped").text());
         return ExitCode::Done;
     }
-    const auto cut = static_cast<std::int64_t>(host.inFlight());
+    const auto aborted = static_cast<std::int64_t>(host.inFlight());
     telemetry::writeLog(telemetry::LogLevel::Error,
-                        core::LogLine("stopped-with-work-cut").add("in-flight", cut).text());
-    // Threads still hold callers' connections, so an orderly end could wait for them for good.
-    std::_Exit(static_cast<int>(ExitCode::WorkCut));
+                        core::LogLine("stopped-with-work-cut").add("in-flight", aborted).text());
+    // Threads still serve callers' connections; a regular exit could wait for them forever.
+    std::_Exit(static_cast<int>(ExitCode::RequestsAborted));
 }
 
 } // namespace applehatch::process
--- a/include/applehatch/process/settings-feed.h
+++ b/include/applehatch/process/settings-feed.h
@@ -1,5 +1,5 @@
-/// Keeps this process's settings and host list current: the replica, its reads of the platform and
-/// its peers.
+/// Keeps this process's settings and host list current by reading the platform's services and
+/// pulling from peers.
 #pragma once
 
 #include "applehatch/clients/settings-client.h"
@@ -23,53 +23,59 @@
 
 namespace applehatch::process {
 
-/// What the feed tells its host; called from any thread, without the lock that `status` takes.
+/// Callbacks of the feed. Called from any thread, without the lock that `status` takes.
 struct SettingsFeedHooks
 {
-    /// The address book has these settings.
+    /// New settings are in force; the address table already contains them.
     std::function<void(core::SettingsPtr)> inForce;
     /// The host list was read, changed or not.
     std::function<void(const core::HostList &)> hostList;
-    /// Whether work under way hangs on the link to a member that the settings no longer name; the
-    /// link closes, and its address is forgotten, once none does. Not set, none ever does.
+    /// Returns whether work in progress depends on the link to a member that the settings no longer
+    /// name. Once none does, the link is closed and the member's address is forgotten. When not
+    /// set, no work depends on such a link.
     std::function<bool(core::UpstreamId)> isInUse = {};
 };
 
+/// Runs the settings replica: reads the settings service and the host list, exchanges settings with
+/// peers, and reports changes through `SettingsFeedHooks`.
 class SettingsFeed
 {
 public:
     /// All references must outlive the feed.
-    SettingsFeed(std::shared_ptr<const settings::ProcessFile> file, AddressBook &addresses,
+    SettingsFeed(std::shared_ptr<const settings::ProcessFile> file, AddressTable &addresses,
                  wire::LinkLoop &loop, PeerLinks &links, SettingsFeedHooks hooks);
 
-    /// As `stop`.
+    /// Calls `stop`.
     ~SettingsFeed();
     SettingsFeed(const SettingsFeed &) = delete;
     auto operator=(const SettingsFeed &) -> SettingsFeed & = delete;
 
-    /// Starts reading.
+    /// Starts the threads that read the settings and the host list.
     auto start() -> void;
 
-    /// Ends a read of the service under way and joins the feed's threads; from then on only what
-    /// the host itself hands in can call a hook.
+    /// Aborts a read of the service in progress and joins the feed's threads. Afterwards hooks are
+    /// called only from calls that the host itself makes to this object.
     auto stop() -> void;
 
-    /// Takes a message about settings, and answers a pull over `link`; false for any other message,
-    /// which is left as it is.
+    /// Handles a message about settings, answering a pull over `link`. Returns false for any other
+    /// message, which is left unchanged.
     [[nodiscard]] auto onMessage(wire::LinkId link, core::Message &message) -> bool;
-    auto onIndexHeard(core::SettingsIndex index) -> void;
+
+    /// Handles a settings index that a peer advertised.
+    auto onIndexAdvertised(core::SettingsIndex index) -> void;
 
     [[nodiscard]] auto status() -> std::vector<core::SubtreeStatus>;
     [[nodiscard]] auto current() -> core::SettingsPtr;
 
-    /// Longest blocking query. A watch whose connection went silent is noticed 4 s after it, so
-    /// that a change is in force within 18 s even if the connections of all readers did.
-    static constexpr core::Duration watchWait = std::chrono::seconds(8);
+    /// Maximum time that the service may hold a blocking query. A silent connection is detected 4 s
+    /// after this time, so a change is in force within 18 s even if the connections of all readers
+    /// went silent.
+    static constexpr core::Duration watchTimeout = std::chrono::seconds(8);
 
 private:
-    /// `asker` is the link of the pull that is handled.
-    auto handle(core::SettingsEvent event, std::optional<wire::LinkId> asker = {}) -> void;
-    auto act(core::SettingsAction &action, std::optional<wire::LinkId> asker) -> void;
+    /// `pullLink` is the link over which `event` arrived, if it is a pull.
+    auto handle(core::SettingsEvent event, std::optional<wire::LinkId> pullLink = {}) -> void;
+    auto perform(core::SettingsAction &action, std::optional<wire::LinkId> pullLink) -> void;
     auto putInForce(core::SettingsPtr settings) -> void;
     auto dropRetired() -> void;
     auto pull(core::PullFromPeer wanted) -> void;
@@ -79,18 +85,18 @@
     auto readHostList() -> void;
 
     std::shared_ptr<const settings::ProcessFile> file_;
-    AddressBook &addresses_;
+    AddressTable &addresses_;
     wire::LinkLoop &loop_;
     PeerLinks &links_;
     clients::SettingsClient client_;
     clients::HostListClient hostListClient_;
-    core::HostList hostList_;         ///< As read last; touched by the polling thread only.
-    core::HostListPace hostListPace_; ///< The polling thread's.
+    core::HostList hostList_;             ///< Last read result; used only by the polling thread.
+    core::HostListPace hostListSchedule_; ///< Used only by the polling thread.
     SettingsFeedHooks hooks_;
 
-    std::mutex actMutex_;           ///< Held while actions are carried out; taken before `mutex_`.
-    std::size_t bootstrapTurn_ = 0; ///< Guarded by `actMutex_`.
-    std::mutex mutex_;              ///< Guards the members below.
+    std::mutex performMutex_;           ///< Held while performing actions; locked before `mutex_`.
+    std::size_t nextBootstrapPeer_ = 0; ///< Guarded by `performMutex_`.
+    std::mutex mutex_;                  ///< Guards the members below.
     core::SettingsReplica replica_;
     std::deque<core::ReadService> reads_;
     std::condition_variable changed_;
--- a/include/applehatch/process/signals.h
+++ b/include/applehatch/process/signals.h
@@ -1,4 +1,4 @@
-/// Requests to stop, as signals.
+/// Handling of the signals that stop the process.
 #pragma once
 
 #include <functional>
@@ -8,11 +8,11 @@
 
 /// Blocks `SIGTERM` and `SIGINT` and ignores `SIGPIPE`; call before the first thread starts.
 ///
-/// A caller that left makes a write fail with `SIGPIPE`, which would end the process and every
-/// other caller's request with it.
+/// A write to a caller that has disconnected raises `SIGPIPE`, which would terminate the process
+/// and with it every other caller's request.
 auto prepareSignals() -> void;
 
-/// A thread that takes the signals with `sigwait`; `onStop` runs on it, once for each signal.
+/// Thread that receives the signals with `sigwait` and calls `onStop` once per signal.
 class SignalThread
 {
 public:
--- a/include/applehatch/process/traffic.h
+++ b/include/applehatch/process/traffic.h
@@ -1,4 +1,4 @@
-/// Bytes between processes, counted by message kind and direction.
+/// Counters of bytes and messages between processes, by message kind and direction.
 #pragma once
 
 #include "applehatch/telemetry/metrics.h"
@@ -10,8 +10,8 @@
 
 namespace applehatch::process {
 
-/// `applehatch_traffic_bytes_total{kind,direction,class}` and the same for messages; `class` is
-/// `control` or `payload`.
+/// Maintains `applehatch_traffic_bytes_total{kind,direction,class}` and the corresponding message
+/// counter; `class` is `control` or `payload`.
 class Traffic
 {
 public:
@@ -19,7 +19,7 @@
 
     [[nodiscard]] auto linkHooks() -> wire::LinkTraffic;
 
-    /// Sets the counting hooks of `hooks` and leaves `onDigest` alone.
+    /// Sets the counting hooks of `hooks`, leaving `onDigest` unchanged.
     auto addTo(wire::DigestHooks &hooks) -> void;
 
 private:
@@ -34,8 +34,8 @@
 
     telemetry::Metrics &metrics_;
     prometheus::Counter &malformed_;
-    std::mutex mutex_; ///< Guards `held_`.
-    std::map<std::pair<std::string_view, std::string_view>, Counters> held_;
+    std::mutex mutex_; ///< Guards `counters_`.
+    std::map<std::pair<std::string_view, std::string_view>, Counters> counters_;
 };
 
 } // namespace applehatch::process
--- a/src/process/address-book.cc
+++ b/src/process/address-book.cc
@@ -5,12 +5,12 @@
 
 namespace applehatch::process {
 
-auto AddressBook::keyOf(const settings::Member &member) -> Key
+auto AddressTable::keyOf(const settings::Member &member) -> Key
 {
     return {member.sidecar.ip, member.sidecar.port};
 }
 
-auto AddressBook::update(const settings::Settings &settings) -> std::vector<core::Address>
+auto AddressTable::update(const settings::Settings &settings) -> std::vector<core::Address>
 {
     std::unordered_map<core::UpstreamId, settings::Member> members;
     std::map<Key, core::UpstreamId> byAddress;
@@ -23,12 +23,12 @@
         }
     }
     const std::lock_guard lock(mutex_);
-    std::vector<core::Address> left;
+    std::vector<core::Address> vacated;
     retired_.clear();
     for (const auto &[upstream, member] : members_) {
         const auto isFree = byAddress.find(keyOf(member)) == byAddress.end();
         if (isFree && members.find(upstream) != members.end()) {
-            left.push_back(member.sidecar);
+            vacated.push_back(member.sidecar);
         } else if (isFree) {
             members.emplace(upstream, member);
             byAddress.emplace(keyOf(member), upstream);
@@ -37,16 +37,16 @@
     }
     members_ = std::move(members);
     byAddress_ = std::move(byAddress);
-    return left;
+    return vacated;
 }
 
-auto AddressBook::retired() const -> std::vector<core::UpstreamId>
+auto AddressTable::retired() const -> std::vector<core::UpstreamId>
 {
     const std::shared_lock lock(mutex_);
     return {retired_.begin(), retired_.end()};
 }
 
-auto AddressBook::forget(core::UpstreamId upstream) -> void
+auto AddressTable::forget(core::UpstreamId upstream) -> void
 {
     const std::lock_guard lock(mutex_);
     if (retired_.erase(upstream) == 0)
@@ -56,7 +56,7 @@
     members_.erase(member);
 }
 
-auto AddressBook::find(core::UpstreamId upstream, core::Address settings::Member::*address) const
+auto AddressTable::find(core::UpstreamId upstream, core::Address settings::Member::*address) const
     -> std::optional<core::Address>
 {
     const std::shared_lock lock(mutex_);
@@ -66,22 +66,22 @@
     return found->second.*address;
 }
 
-auto AddressBook::sidecar(core::UpstreamId upstream) const -> std::optional<core::Address>
+auto AddressTable::sidecar(core::UpstreamId upstream) const -> std::optional<core::Address>
 {
     return find(upstream, &settings::Member::sidecar);
 }
 
-auto AddressBook::digest(core::UpstreamId upstream) const -> std::optional<core::Address>
+auto AddressTable::digest(core::UpstreamId upstream) const -> std::optional<core::Address>
 {
     return find(upstream, &settings::Member::digest);
 }
 
-auto AddressBook::upstream(core::UpstreamId upstream) const -> std::optional<core::Address>
+auto AddressTable::upstream(core::UpstreamId upstream) const -> std::optional<core::Address>
 {
     return find(upstream, &settings::Member::upstream);
 }
 
-auto AddressBook::upstreamAt(const core::Address &address) const -> core::UpstreamId
+auto AddressTable::upstreamAt(const core::Address &address) const -> core::UpstreamId
 {
     const std::shared_lock lock(mutex_);
     const auto found = byAddress_.find({address.ip, address.port});
--- a/src/process/admin-server.cc
+++ b/src/process/admin-server.cc
@@ -12,11 +12,11 @@
 constexpr int tooLarge = 413;
 constexpr int unavailable = 503;
 constexpr int adminThreads = 4;
-constexpr std::size_t maxApiBody = 1U << 20U; // The largest value the service holds.
+constexpr std::size_t maxApiBody = 1U << 20U; // The settings service's maximum value size.
 
 auto answerText(HttpExchange &exchange, int status, std::string_view text) -> void
 {
-    // A caller that left needs no answer.
+    // A failed write means that the caller has disconnected.
     (void)exchange.respond(status, {{"Content-Type", "text/plain; charset=utf-8"}}, text);
 }
 
@@ -25,8 +25,8 @@
 auto answerHealth(HttpExchange &exchange, const Health &health) -> bool
 {
     const auto path = exchange.path();
-    const auto answer = [&](bool good) {
-        answerText(exchange, good ? ok : unavailable, good ? "yes\n" : "no\n");
+    const auto answer = [&](bool isTrue) {
+        answerText(exchange, isTrue ? ok : unavailable, isTrue ? "yes\n" : "no\n");
         return true;
     };
     if (path == "/health/live")
@@ -77,7 +77,7 @@
     request.authorization = exchange.header("Authorization");
     request.fromLoopback = exchange.remoteIp().substr(0, 4) == "127.";
     const auto body = exchange.readBody(maxApiBody, request.body);
-    if (body != BodyRead::Whole) {
+    if (body != BodyRead::Complete) {
         answerText(exchange, body == BodyRead::TooLarge ? tooLarge : badRequest, "body\n");
         return;
     }
--- a/src/process/caller-socket.cc
+++ b/src/process/caller-socket.cc
@@ -37,9 +37,10 @@
 
 auto findCallerSocket(const mg_request_info &info) -> int
 {
-    // Descriptors are given out from the lowest, so those in use end soon after the threads' count.
-    constexpr int mostDescriptors = 8192;
-    for (int descriptor = 0; descriptor < mostDescriptors; ++descriptor) {
+    // The system allocates the lowest free descriptor, so the highest one in use is only slightly
+    // above the number of threads.
+    constexpr int maxDescriptors = 8192;
+    for (int descriptor = 0; descriptor < maxDescriptors; ++descriptor) {
         if (isCaller(descriptor, info))
             return descriptor;
     }
--- a/src/process/caller-socket.h
+++ b/src/process/caller-socket.h
@@ -1,14 +1,14 @@
-/// The socket behind one of CivetWeb's connections.
+/// Lookup of the socket that belongs to a CivetWeb connection.
 #pragma once
 
 struct mg_request_info;
 
 namespace applehatch::process {
 
-/// The descriptor of the connection that `info` came over; negative when it is not found.
+/// Returns the descriptor of the connection over which `info` arrived, or -1 when it is not found.
 ///
-/// The library does not give it out, and only it shows that a caller left before an answer begins.
-/// It stays open while the request's handler runs.
+/// CivetWeb does not expose the descriptor, and only the socket shows that a caller disconnected
+/// before its answer begins. The descriptor stays open while the request's handler runs.
 [[nodiscard]] auto findCallerSocket(const mg_request_info &info) -> int;
 
 } // namespace applehatch::process
--- a/src/process/command-line.cc
+++ b/src/process/command-line.cc
@@ -105,8 +105,9 @@
     return {std::move(result.file), ExitCode::Done};
 }
 
-// gflags' own parser ends the process with 1 for a bad flag, which would read as refused settings.
-// None when every argument is a flag with a fitting value; otherwise what is wrong.
+// Checks the arguments and returns the first error, or nothing when every argument is a known flag
+// with a valid value. gflags' own parser exits with 1 on a bad flag, which is the code for refused
+// settings.
 auto setFlags(const std::vector<std::string> &arguments) -> std::optional<std::string>
 {
     for (std::size_t index = 0; index < arguments.size(); ++index) {
--- a/src/process/http-server.cc
+++ b/src/process/http-server.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr int handled = 1; // Tells the library that the answer was sent.
+constexpr int handled = 1; // Tells CivetWeb that the answer was sent.
 constexpr int hexBase = 16;
 constexpr std::size_t readBytes = 16384;
 
@@ -36,9 +36,9 @@
 
 auto writeAll(mg_connection *connection, std::string_view text) -> bool
 {
-    constexpr std::size_t largest = std::numeric_limits<int>::max();
+    constexpr std::size_t maxWriteBytes = std::numeric_limits<int>::max();
     while (!text.empty()) {
-        const auto count = std::min(text.size(), largest);
+        const auto count = std::min(text.size(), maxWriteBytes);
         const auto written = mg_write(connection, text.data(), count);
         if (written <= 0)
             return false;
@@ -81,8 +81,8 @@
     const auto *info = mg_get_request_info(connection_);
     core::Headers headers;
     for (int index = 0; index < info->num_headers; ++index) {
-        const auto &held = info->http_headers[index]; // NOLINT: the library's array
-        headers.emplace_back(view(held.name), view(held.value));
+        const auto &entry = info->http_headers[index]; // NOLINT: CivetWeb's array
+        headers.emplace_back(view(entry.name), view(entry.value));
     }
     return headers;
 }
@@ -92,7 +92,7 @@
     return view(static_cast<const char *>(mg_get_request_info(connection_)->remote_addr));
 }
 
-auto HttpExchange::callerLeft() -> bool
+auto HttpExchange::callerDisconnected() -> bool
 {
     if (socket_ < 0)
         socket_ = findCallerSocket(*mg_get_request_info(connection_));
@@ -102,8 +102,8 @@
 
 auto HttpExchange::readBody(std::size_t limit, std::string &body) -> BodyRead
 {
-    const auto named = mg_get_request_info(connection_)->content_length;
-    if (named >= 0 && static_cast<std::size_t>(named) > limit)
+    const auto declaredLength = mg_get_request_info(connection_)->content_length;
+    if (declaredLength >= 0 && static_cast<std::size_t>(declaredLength) > limit)
         return BodyRead::TooLarge;
     std::array<char, readBytes> buffer{};
     int count = 0;
@@ -112,8 +112,9 @@
         if (body.size() > limit)
             return BodyRead::TooLarge;
     }
-    const auto cut = named >= 0 && body.size() != static_cast<std::size_t>(named);
-    return count < 0 || cut ? BodyRead::Broken : BodyRead::Whole;
+    const auto isTruncated =
+        declaredLength >= 0 && body.size() != static_cast<std::size_t>(declaredLength);
+    return count < 0 || isTruncated ? BodyRead::Incomplete : BodyRead::Complete;
 }
 
 auto HttpExchange::respond(int status, const core::Headers &headers, std::string_view body) -> bool
@@ -139,8 +140,8 @@
         return true;
     if (!chunked_)
         return writeAll(connection_, data);
-    // The library's `mg_send_chunk` makes three system calls of a chunk, so three packets of each
-    // token; here it is one.
+    // CivetWeb's `mg_send_chunk` makes three system calls per chunk, which sends each token in
+    // three packets. Here each chunk is written with one call.
     std::array<char, 2 * sizeof(std::size_t)> digits{};
     auto *const first = digits.data();
     auto *const last = std::to_chars(first, first + digits.size(), data.size(), hexBase).ptr;
--- a/src/process/peer-links.cc
+++ b/src/process/peer-links.cc
@@ -57,10 +57,10 @@
 {
     const std::lock_guard lock(mutex_);
     const auto found = peers_.find(link);
-    return found != peers_.end() && !std::exchange(found->second.heard, true);
+    return found != peers_.end() && !std::exchange(found->second.heartbeatReceived, true);
 }
 
-auto PeerLinks::takeDown(wire::LinkId link) -> std::optional<core::Address>
+auto PeerLinks::removeLink(wire::LinkId link) -> std::optional<core::Address>
 {
     const std::lock_guard lock(mutex_);
     const auto found = peers_.find(link);
--- a/src/process/periodic.cc
+++ b/src/process/periodic.cc
@@ -4,8 +4,8 @@
 
 namespace applehatch::process {
 
-Periodic::Periodic(core::Duration period, std::function<void()> task)
-    : Periodic([period] { return period; }, std::move(task))
+Periodic::Periodic(core::Duration interval, std::function<void()> task)
+    : Periodic([interval] { return interval; }, std::move(task))
 { }
 
 Periodic::Periodic(std::function<core::Duration()> wait, std::function<void()> task)
--- a/src/process/settings-feed.cc
+++ b/src/process/settings-feed.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr core::Duration tickPeriod = std::chrono::milliseconds(100);
+constexpr core::Duration tickInterval = std::chrono::milliseconds(100);
 constexpr core::Duration hostListTimeout = std::chrono::seconds(1);
 
 auto identityOf(const settings::ProcessFile &file) -> core::ReplicaIdentity
@@ -25,7 +25,7 @@
 } // namespace
 
 SettingsFeed::SettingsFeed(std::shared_ptr<const settings::ProcessFile> file,
-                           AddressBook &addresses, wire::LinkLoop &loop, PeerLinks &links,
+                           AddressTable &addresses, wire::LinkLoop &loop, PeerLinks &links,
                            SettingsFeedHooks hooks)
     : file_(std::move(file))
     , addresses_(addresses)
@@ -33,7 +33,7 @@
     , links_(links)
     , client_(file_->settings)
     , hostListClient_(file_->hostList)
-    , hostListPace_(core::stableHash(file_->name, telemetry::wallMicroseconds()))
+    , hostListSchedule_(core::stableHash(file_->name, telemetry::wallMicroseconds()))
     , hooks_(std::move(hooks))
     , replica_(identityOf(*file_))
 { }
@@ -46,15 +46,15 @@
 auto SettingsFeed::start() -> void
 {
     reader_ = std::thread([this] { readLoop(); });
-    ticks_ = std::make_unique<Periodic>(tickPeriod, [this] { tick(); });
-    hostListPolls_ = std::make_unique<Periodic>([this] { return hostListPace_.wait(); },
+    ticks_ = std::make_unique<Periodic>(tickInterval, [this] { tick(); });
+    hostListPolls_ = std::make_unique<Periodic>([this] { return hostListSchedule_.wait(); },
                                                 [this] { readHostList(); });
 }
 
 auto SettingsFeed::tick() -> void
 {
     handle(core::SettingsTick{});
-    const std::lock_guard acting(actMutex_);
+    const std::lock_guard acting(performMutex_);
     dropRetired();
 }
 
@@ -83,7 +83,7 @@
     return true;
 }
 
-auto SettingsFeed::onIndexHeard(core::SettingsIndex index) -> void
+auto SettingsFeed::onIndexAdvertised(core::SettingsIndex index) -> void
 {
     handle(core::SettingsIndexHeard{index});
 }
@@ -100,21 +100,23 @@
     return replica_.current();
 }
 
-// `actMutex_` spans the decision and its actions: two threads that each put settings in force could
-// otherwise hand them to the node in the wrong order, and the older would stay.
-auto SettingsFeed::handle(core::SettingsEvent event, std::optional<wire::LinkId> asker) -> void
+// Holds `performMutex_` from the replica's decision until its actions are performed. Otherwise two
+// threads that each put settings in force could pass them to the node in the wrong order, and the
+// older settings would stay in force.
+auto SettingsFeed::handle(core::SettingsEvent event, std::optional<wire::LinkId> pullLink) -> void
 {
-    const std::lock_guard acting(actMutex_);
+    const std::lock_guard acting(performMutex_);
     std::vector<core::SettingsAction> actions;
     {
         const std::lock_guard lock(mutex_);
         actions = replica_.handle(std::move(event), telemetry::steadyNow());
     }
     for (auto &action : actions)
-        act(action, asker);
+        perform(action, pullLink);
 }
 
-auto SettingsFeed::act(core::SettingsAction &action, std::optional<wire::LinkId> asker) -> void
+auto SettingsFeed::perform(core::SettingsAction &action, std::optional<wire::LinkId> pullLink)
+    -> void
 {
     if (auto *read = std::get_if<core::ReadService>(&action)) {
         const std::lock_guard lock(mutex_);
@@ -123,8 +125,8 @@
     } else if (auto *wanted = std::get_if<core::PullFromPeer>(&action)) {
         pull(std::move(*wanted));
     } else if (auto *answer = std::get_if<core::AnswerPull>(&action)) {
-        if (asker)
-            loop_.send(*asker, std::move(answer->reply));
+        if (pullLink)
+            loop_.send(*pullLink, std::move(answer->reply));
     } else if (auto *settings = std::get_if<core::PutInForce>(&action)) {
         putInForce(std::move(settings->settings));
     } else if (auto *log = std::get_if<core::WriteLog>(&action)) {
@@ -134,15 +136,15 @@
 
 auto SettingsFeed::putInForce(core::SettingsPtr settings) -> void
 {
-    const auto left = addresses_.update(*settings);
+    const auto vacated = addresses_.update(*settings);
     hooks_.inForce(std::move(settings));
-    for (const auto &address : left)
+    for (const auto &address : vacated)
         links_.drop(address);
     dropRetired();
 }
 
-// An upstream that is taken out of the settings finishes what it runs. Were its link closed at
-// once, the callers of those answers would see them stop half way and hear the reason 14 s later.
+// An upstream that is removed from the settings finishes its running requests. If its link were
+// closed at once, their answers would stop half way and the callers would get the error 14 s later.
 auto SettingsFeed::dropRetired() -> void
 {
     for (const auto upstream : addresses_.retired()) {
@@ -159,7 +161,7 @@
     auto address = addresses_.sidecar(wanted.peer);
     const auto &bootstrap = file_->bootstrapPeers;
     if (!address && !bootstrap.empty())
-        address = bootstrap[bootstrapTurn_++ % bootstrap.size()];
+        address = bootstrap[nextBootstrapPeer_++ % bootstrap.size()];
     if (address && *address != file_->links)
         links_.send(*address, std::move(wanted.pull));
 }
@@ -182,7 +184,7 @@
 auto SettingsFeed::readOnce(const core::ReadService &wanted) -> void
 {
     core::SettingsRead read;
-    if (client_.read(wanted.waitFor, watchWait, read))
+    if (client_.read(wanted.waitFor, watchTimeout, read))
         handle(core::SettingsReadFailed{});
     else
         handle(std::move(read));
@@ -190,13 +192,13 @@
 
 auto SettingsFeed::readHostList() -> void
 {
-    if (hostListPace_.wantsWhole())
+    if (hostListSchedule_.wantsWhole())
         hostList_.version = 0;
     if (hostListClient_.read(hostListTimeout, hostList_)) {
-        hostListPace_.failed();
+        hostListSchedule_.failed();
         return;
     }
-    hostListPace_.succeeded();
+    hostListSchedule_.succeeded();
     handle(core::HostListRead{hostList_});
     hooks_.hostList(hostList_);
 }
--- a/src/process/signals.cc
+++ b/src/process/signals.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Sent to the thread alone, to end it.
+// Sent to the signal thread only, to make it exit.
 constexpr int endThread = SIGUSR1;
 
 auto waitedFor() -> sigset_t
@@ -38,7 +38,7 @@
 }
 
 SignalThread::SignalThread(std::function<void()> onStop)
-    : thread_([held = std::move(onStop)] { waitForSignals(held); })
+    : thread_([handler = std::move(onStop)] { waitForSignals(handler); })
 { }
 
 SignalThread::~SignalThread()
--- a/src/process/traffic.cc
+++ b/src/process/traffic.cc
@@ -36,7 +36,7 @@
     hooks.onMalformed = [this] { malformed_.Increment(); };
 }
 
-// Kinds and directions are string constants, so views of them may be kept.
+// Kinds and directions are string constants, so the map may store views of them.
 auto Traffic::count(std::string_view kind, std::string_view direction, std::size_t bytes) -> void
 {
     const auto counters = countersFor(kind, direction);
@@ -47,7 +47,7 @@
 auto Traffic::countersFor(std::string_view kind, std::string_view direction) -> Counters
 {
     const std::lock_guard lock(mutex_);
-    auto &counters = held_[{kind, direction}];
+    auto &counters = counters_[{kind, direction}];
     if (counters.bytes == nullptr) {
         const telemetry::Labels labels{
             {"kind", std::string(kind)},
--- a/src/router/body-fields.cc
+++ b/src/router/body-fields.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Keeps only what stands at the top level. A body of megabytes is mostly one long text, and a
-// document built of it would cost several times its size for each caller.
+// Keeps only the top-level fields that routing needs. A body of megabytes is mostly one long text,
+// and parsing it into a document would take several times its size in memory for each caller.
 class FieldHandler : public nlohmann::json_sax<nlohmann::json>
 {
 public:
@@ -64,7 +64,7 @@
 private:
     [[nodiscard]] auto at(const char *name) const -> bool { return depth_ == 1 && key_ == name; }
 
-    // A value that is not kept; one of our fields with another type is refused.
+    // Skips a value of any other type, but rejects it when it belongs to one of the needed fields.
     [[nodiscard]] auto other() const -> bool
     {
         return depth_ > 0 && !at("model") && !at("pool") && !at("stream");
--- a/src/router/body-fields.h
+++ b/src/router/body-fields.h
@@ -1,4 +1,4 @@
-/// The few fields of a JSON body that routing needs.
+/// Extraction of the JSON body fields that routing needs.
 #pragma once
 
 #include <optional>
@@ -13,8 +13,8 @@
     bool stream = false;
 };
 
-/// Reads top-level fields without building the document; none when `body` is not a JSON object or
-/// one of the fields has another type.
+/// Reads top-level fields without building the document. Returns nothing when `body` is not a JSON
+/// object or one of the fields has the wrong type.
 [[nodiscard]] auto readBodyFields(const std::string &body) -> std::optional<BodyFields>;
 
 } // namespace applehatch::router
--- a/src/router/caller-answer.cc
+++ b/src/router/caller-answer.cc
@@ -15,14 +15,15 @@
 
 constexpr int ok = 200;
 
-// A caller that waits for a whole answer and leaves makes no write fail until the answer comes; its
-// slot would be spent on an answer that nobody reads.
-constexpr core::Duration probePeriod = milliseconds(500);
+// Interval at which the connection is checked for a disconnect. While a caller waits for a complete
+// answer nothing is written that could fail, so without the check a slot would be spent on an
+// answer that nobody reads.
+constexpr core::Duration probeInterval = milliseconds(500);
 
 constexpr std::string_view streamType = "text/event-stream";
 
-// Progress is reported in steps: a report for each token would double the node's work.
-constexpr std::uint64_t consumedStep = 32U << 10U;
+// Number of bytes between reports of progress: a report per token would double the node's work.
+constexpr std::uint64_t consumedReportBytes = 32U << 10U;
 
 auto sameName(const std::string &left, const char *right) -> bool
 {
@@ -37,7 +38,7 @@
     });
 }
 
-// The length and framing are those of our own connection to the caller.
+// Removes the headers for length and framing, which the connection to the caller sets itself.
 auto withoutFraming(core::Headers headers) -> core::Headers
 {
     std::erase_if(headers, [](const auto &header) {
@@ -59,18 +60,19 @@
 auto CallerAnswer::serve(CallerQueue &queue) -> AnswerOutcome
 {
     while (!outcome_) {
-        auto items = queue.take(probePeriod);
-        if (!items || (items->empty() && exchange_.callerLeft()))
-            return AnswerOutcome::CallerLeft;
+        auto items = queue.take(probeInterval);
+        if (!items || (items->empty() && exchange_.callerDisconnected()))
+            return AnswerOutcome::CallerDisconnected;
         for (auto &item : *items) {
-            const auto reached = std::visit([this](auto &held) { return take(held); }, item);
+            const auto reached =
+                std::visit([this](auto &typedItem) { return take(typedItem); }, item);
             if (!reached)
-                return AnswerOutcome::CallerLeft;
+                return AnswerOutcome::CallerDisconnected;
             if (outcome_)
                 return *outcome_;
         }
         if (!flush())
-            return AnswerOutcome::CallerLeft;
+            return AnswerOutcome::CallerDisconnected;
     }
     return *outcome_;
 }
@@ -96,7 +98,7 @@
                         "the answer is larger than this router holds", std::nullopt});
 }
 
-// One write for all events that arrived together.
+// Writes all events that arrived together in one call.
 auto CallerAnswer::flush() -> bool
 {
     if (!stream_) {
@@ -111,7 +113,7 @@
 
 auto CallerAnswer::reportConsumed() -> void
 {
-    if (offset_ - reported_ < consumedStep)
+    if (offset_ - reported_ < consumedReportBytes)
         return;
     reported_ = offset_;
     onConsumed_(offset_);
--- a/src/router/caller-answer.h
+++ b/src/router/caller-answer.h
@@ -1,4 +1,4 @@
-/// Writes one caller's answer as the node gives it.
+/// Writes the node's answer to one caller's connection.
 #pragma once
 
 #include "applehatch/process/http-server.h"
@@ -12,25 +12,27 @@
 
 namespace applehatch::router {
 
-/// Largest answer that is held whole before it is sent, in bytes; streams are not held.
+/// Maximum size in bytes of an answer that is buffered completely before it is sent. Streams are
+/// not buffered.
 inline constexpr std::size_t maxBufferedAnswer = 16U << 20U;
 
-/// How an answer ended for the caller's connection.
+/// Result of sending an answer to the caller.
 enum class AnswerOutcome {
-    Sent,       ///< Everything that the node gave was written.
-    CallerLeft, ///< A write failed, or the caller read too slowly.
-    TooLarge,   ///< A buffered answer beyond `maxBufferedAnswer`; the caller was told.
+    Sent,               ///< Everything that the node produced was written.
+    CallerDisconnected, ///< A write failed, or the caller read too slowly.
+    TooLarge, ///< A buffered answer exceeded `maxBufferedAnswer`; the caller got an error.
 };
 
-/// Serves one exchange; used by its thread only.
+/// Sends the answer of one exchange. Used only by the thread that serves the exchange.
 class CallerAnswer
 {
 public:
-    /// `onConsumed` is told how far the caller took the answer, as offsets of the upstream's body.
+    /// `onConsumed` receives how far the caller has consumed the answer, as a byte offset in the
+    /// upstream's body.
     CallerAnswer(process::HttpExchange &exchange, core::RequestId request,
                  std::function<void(std::uint64_t)> onConsumed);
 
-    /// Takes items from `queue` until the answer is over.
+    /// Takes items from `queue` and writes them until the answer ends.
     [[nodiscard]] auto serve(CallerQueue &queue) -> AnswerOutcome;
 
 private:
@@ -48,7 +50,7 @@
     std::function<void(std::uint64_t)> onConsumed_;
     std::optional<core::AnswerHead> head_;
     bool stream_ = false;
-    std::string pending_; ///< Of a stream: not yet written. Otherwise: the answer so far.
+    std::string pending_; ///< Streams: data not yet written. Otherwise: the answer so far.
     std::uint64_t offset_ = 0;
     std::uint64_t reported_ = 0;
     std::optional<AnswerOutcome> outcome_;
--- a/src/router/caller-queue.cc
+++ b/src/router/caller-queue.cc
@@ -24,10 +24,10 @@
     changed_.notify_one();
 }
 
-auto CallerQueue::take(core::Duration limit) -> std::optional<std::vector<CallerItem>>
+auto CallerQueue::take(core::Duration timeout) -> std::optional<std::vector<CallerItem>>
 {
     std::unique_lock lock(mutex_);
-    changed_.wait_for(lock, limit, [this] { return overflowed_ || !items_.empty(); });
+    changed_.wait_for(lock, timeout, [this] { return overflowed_ || !items_.empty(); });
     if (overflowed_)
         return std::nullopt;
     bytes_ = 0;
--- a/src/router/caller-queue.h
+++ b/src/router/caller-queue.h
@@ -1,4 +1,4 @@
-/// What the node has for one caller, until the thread that serves it takes it.
+/// Queue of answer items from the node to the thread that serves one caller.
 #pragma once
 
 #include "applehatch/core/router-node.h"
@@ -16,18 +16,19 @@
 using CallerItem = std::variant<core::AnswerHead, core::AnswerChunk, core::AnswerEnd,
                                 core::AnswerFailure, core::AnswerTicket>;
 
-/// Bounded in bytes. Pushing never blocks: it happens where all callers' answers pass through, and
-/// one caller on a slow line would otherwise hold up everyone's.
+/// Thread-safe queue bounded in bytes. `push` never blocks: it runs on a thread that handles the
+/// answers of all callers, and one caller with a slow connection would otherwise delay them all.
 class CallerQueue
 {
 public:
     explicit CallerQueue(std::size_t maxBytes);
 
-    /// Queues an item; beyond the bound the queue overflows and takes no more.
+    /// Queues an item. Beyond the bound the queue overflows and accepts no further items.
     auto push(CallerItem item) -> void;
 
-    /// Waits up to `limit` for items and takes all of them; none when the queue overflowed.
-    [[nodiscard]] auto take(core::Duration limit) -> std::optional<std::vector<CallerItem>>;
+    /// Waits up to `timeout` for items and removes all of them. Returns nothing when the queue
+    /// overflowed.
+    [[nodiscard]] auto take(core::Duration timeout) -> std::optional<std::vector<CallerItem>>;
 
 private:
     std::size_t maxBytes_;
--- a/src/router/problem.cc
+++ b/src/router/problem.cc
@@ -23,7 +23,7 @@
     json["run"] = core::runName(failure.run);
     json["detail"] = failure.detail;
     json["request"] = request;
-    // A detail can quote the caller's own bytes, which need not be UTF-8.
+    // The detail can quote bytes from the caller, which need not be valid UTF-8.
     return json.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
 }
 
--- a/src/router/problem.h
+++ b/src/router/problem.h
@@ -1,4 +1,4 @@
-/// Failures as callers are told them.
+/// Conversion of failures to problem documents for callers.
 #pragma once
 
 #include "applehatch/core/error.h"
@@ -8,7 +8,7 @@
 
 namespace applehatch::router {
 
-/// A whole answer: status, headers and `application/problem+json` body.
+/// Complete HTTP answer with an `application/problem+json` body.
 struct ProblemAnswer
 {
     int status = 500;
@@ -16,10 +16,11 @@
     std::string body;
 };
 
+/// Builds the answer for a failure before any part of an answer was sent.
 [[nodiscard]] auto problemAnswer(const core::Failure &failure, const core::RequestId &request)
     -> ProblemAnswer;
 
-/// The same document as an SSE event named `error`, for an answer that has begun.
+/// Builds an SSE event named `error` with the same document, for an answer that has begun.
 [[nodiscard]] auto problemEvent(const core::Failure &failure, const core::RequestId &request)
     -> std::string;
 
--- a/src/router/request-reader.cc
+++ b/src/router/request-reader.cc
@@ -20,7 +20,7 @@
 constexpr std::size_t maxKeyBytes = 200;
 constexpr std::size_t maxTokenBytes = 512;
 constexpr int largestPriority = 9;
-constexpr std::int64_t largestDeadlineMs = 86'400'000; // A day; each pool sets less.
+constexpr std::int64_t maxDeadlineMs = 86'400'000; // One day; each pool sets a lower limit.
 
 struct CustomerName
 {
@@ -28,7 +28,7 @@
     std::string customer;
 };
 
-auto bad(std::string detail) -> Failure
+auto badRequest(std::string detail) -> Failure
 {
     return {ErrorKind::BadRequest, core::Run::NotRun, std::move(detail), std::nullopt};
 }
@@ -41,8 +41,8 @@
     return lowered;
 }
 
-// Headers that concern one connection, or that the next hop sets itself.
-auto concernsThisHop(const std::string &name) -> bool
+// Returns whether a header applies to one connection only or is set by the next hop itself.
+auto isHopByHop(const std::string &name) -> bool
 {
     constexpr std::array names{
         std::string_view("host"),       std::string_view("connection"),
@@ -55,12 +55,12 @@
         || std::find(names.begin(), names.end(), name) != names.end();
 }
 
-auto passedOn(const HttpExchange &exchange, bool modelCall) -> core::Headers
+auto forwardedHeaders(const HttpExchange &exchange, bool modelCall) -> core::Headers
 {
     core::Headers kept;
     for (auto &header : exchange.headers()) {
         const auto name = lower(header.first);
-        if (modelCall ? name == "content-type" : !concernsThisHop(name))
+        if (modelCall ? name == "content-type" : !isHopByHop(name))
             kept.push_back(std::move(header));
     }
     return kept;
@@ -71,35 +71,36 @@
     const auto text = exchange.header("Applehatch-Customer");
     const auto slash = text.find('/');
     if (slash == std::string_view::npos)
-        return bad("Applehatch-Customer: <team>/<customer> is required");
+        return badRequest("Applehatch-Customer: <team>/<customer> is required");
     const auto team = text.substr(0, slash);
     const auto customer = text.substr(slash + 1);
-    const auto good = [](std::string_view name) {
+    const auto isValidName = [](std::string_view name) {
         return !name.empty() && name.size() <= maxNameBytes
             && name.find('/') == std::string_view::npos;
     };
-    if (!good(team) || !good(customer))
-        return bad("Applehatch-Customer must be <team>/<customer>");
+    if (!isValidName(team) || !isValidName(customer))
+        return badRequest("Applehatch-Customer must be <team>/<customer>");
     return CustomerName{std::string(team), std::string(customer)};
 }
 
 auto readBody(HttpExchange &exchange, std::string &body) -> std::optional<Failure>
 {
     switch (exchange.readBody(maxRequestBody, body)) {
-    case BodyRead::Whole:
+    case BodyRead::Complete:
         return std::nullopt;
     case BodyRead::TooLarge:
         return Failure{ErrorKind::BodyTooLarge, core::Run::NotRun,
                        "at most " + std::to_string(maxRequestBody) + " bytes", std::nullopt};
-    case BodyRead::Broken:
+    case BodyRead::Incomplete:
         break;
     }
-    return bad("the body ended early");
+    return badRequest("the body ended early");
 }
 
-// Whole numbers only; none when absent, a failure when out of range.
-auto readNumber(const HttpExchange &exchange, const char *name, std::int64_t smallest,
-                std::int64_t largest) -> ReadResult<std::optional<std::int64_t>>
+// Reads an integer header. Returns nothing when it is absent and a failure when it is not an
+// integer or out of range.
+auto readNumber(const HttpExchange &exchange, const char *name, std::int64_t minimum,
+                std::int64_t maximum) -> ReadResult<std::optional<std::int64_t>>
 {
     const auto text = exchange.header(name);
     if (text.empty())
@@ -107,19 +108,19 @@
     std::int64_t value = 0;
     const auto *last = text.data() + text.size();
     const auto result = std::from_chars(text.data(), last, value);
-    if (result.ec != std::errc() || result.ptr != last || value < smallest || value > largest) {
-        return bad(std::string(name) + " must be a whole number from " + std::to_string(smallest)
-                   + " to " + std::to_string(largest));
+    if (result.ec != std::errc() || result.ptr != last || value < minimum || value > maximum) {
+        return badRequest(std::string(name) + " must be a whole number from "
+                          + std::to_string(minimum) + " to " + std::to_string(maximum));
     }
     return std::optional(value);
 }
 
-auto checkLength(const HttpExchange &exchange, const char *name, std::size_t largest)
+auto checkLength(const HttpExchange &exchange, const char *name, std::size_t maximum)
     -> std::optional<Failure>
 {
-    if (exchange.header(name).size() <= largest)
+    if (exchange.header(name).size() <= maximum)
         return std::nullopt;
-    return bad(std::string(name) + " is longer than " + std::to_string(largest) + " bytes");
+    return badRequest(std::string(name) + " is longer than " + std::to_string(maximum) + " bytes");
 }
 
 auto checkTexts(const HttpExchange &exchange) -> std::optional<Failure>
@@ -130,13 +131,13 @@
         std::pair("Applehatch-Context", maxTokenBytes),
         std::pair("Applehatch-Ticket", maxTokenBytes),
     };
-    for (const auto &[name, largest] : limits) {
-        if (auto failure = checkLength(exchange, name, largest))
+    for (const auto &[name, maximum] : limits) {
+        if (auto failure = checkLength(exchange, name, maximum))
             return failure;
     }
     const auto first = exchange.header("Applehatch-First-Send");
     if (!first.empty() && first != "true" && first != "false")
-        return bad("Applehatch-First-Send must be true or false");
+        return badRequest("Applehatch-First-Send must be true or false");
     return std::nullopt;
 }
 
@@ -147,7 +148,7 @@
         return std::move(*failure);
     if (auto failure = checkTexts(exchange))
         return failure;
-    auto deadline = readNumber(exchange, "Applehatch-Deadline-Ms", 1, largestDeadlineMs);
+    auto deadline = readNumber(exchange, "Applehatch-Deadline-Ms", 1, maxDeadlineMs);
     if (auto *failure = std::get_if<Failure>(&deadline))
         return std::move(*failure);
     auto priority = readNumber(exchange, "Applehatch-Priority", 0, largestPriority);
@@ -194,13 +195,13 @@
     if (modelCall) {
         const auto fields = readBodyFields(body);
         if (exchange.method() != "POST" || !fields || fields->model.empty())
-            return bad("a model call is a POST of a JSON object with `model`");
+            return badRequest("a model call is a POST of a JSON object with `model`");
         read.terms.model = fields->model;
         read.call.stream = fields->stream;
     }
     read.call.method = exchange.method();
     read.call.path = fullPath(exchange);
-    read.call.headers = passedOn(exchange, modelCall);
+    read.call.headers = forwardedHeaders(exchange, modelCall);
     read.call.body = std::make_shared<const std::string>(std::move(body));
     return read;
 }
@@ -213,7 +214,7 @@
         return std::move(*failure);
     const auto position = exchange.header("Last-Event-ID");
     if (exchange.method() != "GET" || position.empty() || position.size() > maxTokenBytes)
-        return bad("an answer is resumed by GET with Last-Event-ID");
+        return badRequest("an answer is resumed by GET with Last-Event-ID");
     auto &name = std::get<CustomerName>(customer);
     return core::CallerResume{request, std::string(position), std::move(name.team),
                               std::move(name.customer)};
@@ -230,7 +231,7 @@
         return std::move(*failure);
     auto fields = readBodyFields(body);
     if (exchange.method() != "POST" || !fields || fields->pool.empty())
-        return bad("a ticket is asked for by POST of a JSON object with `pool`");
+        return badRequest("a ticket is asked for by POST of a JSON object with `pool`");
     auto &name = std::get<CustomerName>(customer);
     return core::TicketRequest{request, std::move(name.team), std::move(name.customer),
                                std::move(fields->pool)};
--- a/src/router/request-reader.h
+++ b/src/router/request-reader.h
@@ -1,4 +1,4 @@
-/// Callers' headers and bodies, checked and typed.
+/// Parsing and validation of callers' requests.
 #pragma once
 
 #include "applehatch/core/router-node.h"
@@ -9,6 +9,7 @@
 
 namespace applehatch::router {
 
+/// Maximum size of a request body in bytes.
 inline constexpr std::size_t maxRequestBody = 4U << 20U;
 inline constexpr std::string_view completionsPath = "/v1/chat/completions";
 inline constexpr std::string_view answersPath = "/v1/answers";
@@ -21,7 +22,7 @@
 [[nodiscard]] auto readCall(process::HttpExchange &exchange, const core::RequestId &request)
     -> ReadResult<core::CallerRequest>;
 
-/// Reads a request for the rest of an answer.
+/// Reads a request to resume an answer.
 [[nodiscard]] auto readResume(process::HttpExchange &exchange, const core::RequestId &request)
     -> ReadResult<core::CallerResume>;
 
--- a/src/router/router-admin.cc
+++ b/src/router/router-admin.cc
@@ -1,4 +1,4 @@
-// What the router shows operators: metrics and the administration API's source.
+// Operator interface of the router: metrics and the data source of the administration API.
 #include "router-host.h"
 
 #include "applehatch/telemetry/clock.h"
--- a/src/router/router-callers.cc
+++ b/src/router/router-callers.cc
@@ -1,4 +1,4 @@
-// Serving callers: from an HTTP exchange to the node and back.
+// Serves callers: passes requests from HTTP exchanges to the node and writes its answers back.
 #include "router-host.h"
 
 #include "applehatch/telemetry/logger.h"
@@ -72,7 +72,7 @@
     {
         const std::lock_guard lock(callersMutex_);
         callers_.erase(request);
-        callersLeft_.notify_all();
+        callerRemoved_.notify_all();
     }
     if (outcome != AnswerOutcome::Sent) {
         logCaller(request, outcome == AnswerOutcome::TooLarge ? "answer-too-large" : "left");
@@ -80,13 +80,13 @@
     }
 }
 
-// The node is done when it gave the last answer; the thread that writes it may not be. The server's
-// stop would cut such a write.
+// Waits for the threads that still write answers. The node has drained once it has produced the
+// last answer, but stopping the server would cut off a write that is still in progress.
 auto RouterHost::waitForCallers() -> void
 {
-    constexpr auto longestWrite = std::chrono::seconds(5);
+    constexpr auto writeTimeout = std::chrono::seconds(5);
     std::unique_lock lock(callersMutex_);
-    callersLeft_.wait_for(lock, longestWrite, [this] { return callers_.empty(); });
+    callerRemoved_.wait_for(lock, writeTimeout, [this] { return callers_.empty(); });
 }
 
 } // namespace applehatch::router
--- a/src/router/router-host.cc
+++ b/src/router/router-host.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr core::Duration tickPeriod = std::chrono::milliseconds(50);
+constexpr core::Duration tickInterval = std::chrono::milliseconds(50);
 
 auto identityOf(const settings::ProcessFile &file) -> core::RouterIdentity
 {
@@ -18,7 +18,8 @@
     return {file.name, file.dataCenter, seed};
 }
 
-// Names this life of this router, so that no two requests in the fleet share an id.
+// Returns a prefix unique to this incarnation of the router, so that request ids are unique in the
+// fleet.
 auto requestPrefix(const settings::ProcessFile &file) -> std::string
 {
     return core::formatContext({core::stableHash(file.name), telemetry::wallMicroseconds()}) + '.';
@@ -41,7 +42,7 @@
     addMetrics();
 }
 
-// Threads that call into members end before any member does.
+// Stops the threads that call into members before any member is destroyed.
 RouterHost::~RouterHost()
 {
     waitForCallers();
@@ -63,8 +64,8 @@
     if (const auto error = server_.start(callers, serve, bound))
         return error;
     feed_.start();
-    // On the loop's thread, so that silence is judged only after what has arrived was read.
-    loop_.every(tickPeriod, [this] { node_.handle(core::Tick{}); });
+    // Runs on the loop's thread, so that timeouts are checked only after received data was read.
+    loop_.every(tickInterval, [this] { node_.handle(core::Tick{}); });
     return {};
 }
 
@@ -78,56 +79,57 @@
     return node_.read([](const core::RouterNode &node) { return node.counts().inFlight; });
 }
 
-// Called by whichever thread acts; none of these may block.
+// Called from any thread that performs the node's actions; no overload of `perform` may block.
 auto RouterHost::act(core::RouterAction &action) -> void
 {
-    std::visit([this](auto &held) { carry(held); }, action);
+    std::visit([this](auto &typedAction) { perform(typedAction); }, action);
 }
 
-auto RouterHost::carry(core::SendToSidecar &send) -> void
+auto RouterHost::perform(core::SendToSidecar &send) -> void
 {
     if (const auto address = addresses_.sidecar(send.upstream))
         links_.send(*address, std::move(send.message));
 }
 
-auto RouterHost::carry(core::OpenLink &open) -> void
+auto RouterHost::perform(core::OpenLink &open) -> void
 {
     const auto address = addresses_.sidecar(open.upstream);
     if (!address) {
         node_.handle(core::LinkDown{open.upstream});
         return;
     }
-    // A link may stand from asking for settings, before anyone knew whose it was. Its first
-    // heartbeat is gone, and the node would wait for `LinkUp` until it gave the upstream up.
+    // A link to this address may already exist from a pull of settings, opened before its upstream
+    // was known. Its first heartbeat has already been handled, so the node would wait for `LinkUp`
+    // until it gave up on the upstream.
     links_.drop(*address);
     links_.open(*address);
 }
 
-auto RouterHost::carry(core::DropLink &drop) -> void
+auto RouterHost::perform(core::DropLink &drop) -> void
 {
     if (const auto address = addresses_.sidecar(drop.upstream))
         links_.drop(*address);
 }
 
-auto RouterHost::carry(core::SendDigest &digest) -> void
+auto RouterHost::perform(core::SendDigest &digest) -> void
 {
     if (const auto address = addresses_.digest(digest.upstream))
         digests_.send(*address, digest.digest);
 }
 
-auto RouterHost::carry(core::WriteLog &log) -> void
+auto RouterHost::perform(core::WriteLog &log) -> void
 {
     telemetry::writeLog(telemetry::LogLevel::Info, log.line.text());
 }
 
-auto RouterHost::carry(core::Drained & /*drained*/) -> void
+auto RouterHost::perform(core::Drained & /*drained*/) -> void
 {
     drain_.done();
 }
 
-// Answers for callers only go to their queues: the thread here may be the link loop's.
+// Only queues the answer for its caller: this may run on the link loop's thread.
 template <typename Answer>
-auto RouterHost::carry(Answer &answer) -> void
+auto RouterHost::perform(Answer &answer) -> void
 {
     std::shared_ptr<CallerQueue> queue;
     {
@@ -143,14 +145,14 @@
 auto RouterHost::linkHooks() -> wire::LinkHooks
 {
     wire::LinkHooks hooks;
-    // A link counts as up with its first heartbeat, which carries the sidecar's clock.
+    // A link is reported as up on its first heartbeat, which carries the sidecar's clock.
     hooks.onUp = [](wire::LinkId) {};
     hooks.onMessage = [this](wire::LinkId link, core::Message message) {
         onMessage(link, std::move(message));
     };
     hooks.onClosed = process::logClosedLink;
     hooks.onDown = [this](wire::LinkId link) {
-        const auto peer = links_.takeDown(link);
+        const auto peer = links_.removeLink(link);
         const auto upstream = peer ? addresses_.upstreamAt(*peer) : 0;
         if (upstream != 0)
             node_.handle(core::LinkDown{upstream});
@@ -186,7 +188,7 @@
     wire::DigestHooks hooks;
     traffic_.addTo(hooks);
     hooks.onDigest = [this](core::Digest digest, const core::Address & /*from*/) {
-        feed_.onIndexHeard(digest.settingsIndex);
+        feed_.onIndexAdvertised(digest.settingsIndex);
         node_.handle(core::DigestReceived{std::move(digest)});
     };
     return hooks;
--- a/src/router/router-host.h
+++ b/src/router/router-host.h
@@ -1,4 +1,4 @@
-/// The router process round its node: callers, links, settings, digests, time.
+/// Process around the router node: connects it to callers, links, settings, digests and timers.
 #pragma once
 
 #include "applehatch/admin/api.h"
@@ -42,13 +42,14 @@
     RouterHost(const RouterHost &) = delete;
     auto operator=(const RouterHost &) -> RouterHost & = delete;
 
-    /// Binds every address and starts. The error names the first that cannot be had.
+    /// Binds every address and starts serving. Returns the error of the first address that cannot
+    /// be bound.
     [[nodiscard]] auto start() -> std::error_code;
 
-    /// Asks the node to drain; `drain` tells when it is done.
+    /// Asks the node to drain; `drain()` reports completion.
     auto requestDrain() -> void;
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     [[nodiscard]] auto inFlight() const -> std::uint64_t;
 
     [[nodiscard]] auto drain() -> process::Drain & { return drain_; }
@@ -57,14 +58,14 @@
     using Runner = process::NodeRunner<core::RouterNode, core::RouterEvent, core::RouterAction>;
 
     auto act(core::RouterAction &action) -> void;
-    auto carry(core::SendToSidecar &send) -> void;
-    auto carry(core::OpenLink &open) -> void;
-    auto carry(core::DropLink &drop) -> void;
-    auto carry(core::SendDigest &digest) -> void;
-    auto carry(core::WriteLog &log) -> void;
-    auto carry(core::Drained &drained) -> void;
+    auto perform(core::SendToSidecar &send) -> void;
+    auto perform(core::OpenLink &open) -> void;
+    auto perform(core::DropLink &drop) -> void;
+    auto perform(core::SendDigest &digest) -> void;
+    auto perform(core::WriteLog &log) -> void;
+    auto perform(core::Drained &drained) -> void;
     template <typename Answer>
-    auto carry(Answer &answer) -> void;
+    auto perform(Answer &answer) -> void;
 
     auto linkHooks() -> wire::LinkHooks;
     auto digestHooks() -> wire::DigestHooks;
@@ -87,21 +88,21 @@
     telemetry::Metrics metrics_;
     process::Traffic traffic_;
     process::Drain drain_;
-    process::AddressBook addresses_;
+    process::AddressTable addresses_;
     std::string requestPrefix_;
     std::atomic<std::uint64_t> requests_{0};
 
     std::mutex callersMutex_; ///< Guards `callers_`; the queues have their own locks.
-    std::condition_variable callersLeft_;
+    std::condition_variable callerRemoved_;
     std::unordered_map<core::RequestId, std::shared_ptr<CallerQueue>> callers_;
 
     Runner node_;
     wire::LinkLoop loop_;
     process::PeerLinks links_;
     process::SettingsFeed feed_;
-    wire::DigestSocket digests_; ///< After the feed, which its thread calls.
+    wire::DigestSocket digests_; ///< After the feed, which this socket's thread calls.
     process::AdminServer admin_;
-    process::HttpServer server_; ///< Last: stops first, while all that its callers need still runs.
+    process::HttpServer server_; ///< Last, so it stops first, before what its callers use.
 };
 
 } // namespace applehatch::router
--- a/src/sidecar/run-table.cc
+++ b/src/sidecar/run-table.cc
@@ -5,19 +5,19 @@
 
 namespace applehatch::sidecar {
 
-RunTable::RunTable(wire::LinkLoop &loop, core::Address upstream, core::Duration silence,
+RunTable::RunTable(wire::LinkLoop &loop, core::Address upstream, core::Duration idleTimeout,
                    std::function<void(core::SidecarEvent)> report)
     : loop_(loop)
 {
-    loop_.run([this, held = std::move(upstream), silence, report = std::move(report)](
-                  kj::AsyncIoContext &io) { runs_.emplace(io, held, silence, report); });
+    loop_.run([this, captured = std::move(upstream), idleTimeout, report = std::move(report)](
+                  kj::AsyncIoContext &io) { runs_.emplace(io, captured, idleTimeout, report); });
 }
 
 auto RunTable::start(core::StartRun start) -> void
 {
-    loop_.run([this, held = std::move(start)](kj::AsyncIoContext & /*io*/) mutable {
+    loop_.run([this, captured = std::move(start)](kj::AsyncIoContext & /*io*/) mutable {
         if (runs_)
-            runs_->start(std::move(held));
+            runs_->start(std::move(captured));
     });
 }
 
--- a/src/sidecar/sidecar-admin.cc
+++ b/src/sidecar/sidecar-admin.cc
@@ -1,4 +1,4 @@
-// What the sidecar shows operators: metrics and the administration API's source.
+// Operator interface of the sidecar: metrics and the data source of the administration API.
 #include "sidecar-host.h"
 
 #include "applehatch/telemetry/clock.h"
@@ -75,9 +75,13 @@
     using core::SidecarNode;
     admin::Source source;
     source.process = [this] {
-        const auto held = health();
-        return admin::ProcessStatus{file_->name,  "sidecar",       file_->dataCenter,
-                                    held.ready(), held.draining(), inFlight()};
+        const auto currentHealth = health();
+        return admin::ProcessStatus{file_->name,
+                                    "sidecar",
+                                    file_->dataCenter,
+                                    currentHealth.ready(),
+                                    currentHealth.draining(),
+                                    inFlight()};
     };
     source.settings = [this] {
         return node_.read([](const SidecarNode &node) { return node.settings(); });
--- a/src/sidecar/sidecar-host.cc
+++ b/src/sidecar/sidecar-host.cc
@@ -9,16 +9,17 @@
 
 namespace {
 
-constexpr core::Duration tickPeriod = std::chrono::milliseconds(50);
+constexpr core::Duration tickInterval = std::chrono::milliseconds(50);
 constexpr core::Duration statePeriod = std::chrono::milliseconds(500);
 constexpr core::Duration cachePeriod = std::chrono::milliseconds(500);
 
-// Streams pause for less than this between two bytes; the client allows four times as much before
-// the first of a long prompt.
-constexpr core::Duration upstreamSilence = std::chrono::seconds(5);
+// Streams pause for less than this between two bytes. The client allows four times as much before
+// the first byte, for long prompts.
+constexpr core::Duration upstreamIdleTimeout = std::chrono::seconds(5);
 
-// For orders, handed-off contexts and stopped runs; more of them wait.
-constexpr std::size_t mostWorkers = 64;
+// Maximum number of concurrent blocking calls for orders, context handoffs and cancelled runs;
+// further calls are queued.
+constexpr std::size_t maxWorkers = 64;
 
 auto identityOf(const settings::ProcessFile &file) -> core::SidecarIdentity
 {
@@ -42,8 +43,8 @@
     , loop_(linkHooks(), traffic_.linkHooks())
     , links_(loop_)
     , feed_(file_, addresses_, loop_, links_, feedHooks())
-    , workers_(mostWorkers)
-    , runs_(loop_, file_->upstream, upstreamSilence,
+    , workers_(maxWorkers)
+    , runs_(loop_, file_->upstream, upstreamIdleTimeout,
             [this](core::SidecarEvent event) { node_.handle(std::move(event)); })
     , digests_(digestHooks())
     , admin_(metrics_, health(), adminSource())
@@ -51,7 +52,7 @@
     addMetrics();
 }
 
-// Threads that call into members end before any member does.
+// Stops the threads that call into members before any member is destroyed.
 SidecarHost::~SidecarHost()
 {
     feed_.stop();
@@ -72,8 +73,8 @@
     if (const auto error = admin_.start(file_->admin, bound))
         return error;
     feed_.start();
-    // On the loop's thread, so that silence is judged only after what has arrived was read.
-    loop_.every(tickPeriod, [this] { node_.handle(core::Tick{}); });
+    // Runs on the loop's thread, so that timeouts are checked only after received data was read.
+    loop_.every(tickInterval, [this] { node_.handle(core::Tick{}); });
     using process::Periodic;
     statePolls_ = std::make_unique<Periodic>(statePeriod, [this] { pollState(); });
     cachePolls_ = std::make_unique<Periodic>(cachePeriod, [this] { pollCacheEvents(); });
@@ -93,67 +94,68 @@
     });
 }
 
-// Called by whichever thread acts; none of these may block.
+// Called from any thread that performs the node's actions; no overload of `perform` may block.
 auto SidecarHost::act(core::SidecarAction &action) -> void
 {
-    std::visit([this](auto &held) { carry(held); }, action);
+    std::visit([this](auto &typedAction) { perform(typedAction); }, action);
 }
 
-auto SidecarHost::carry(core::SendToPeer &send) -> void
+auto SidecarHost::perform(core::SendToPeer &send) -> void
 {
     loop_.send(send.link, std::move(send.message));
 }
 
-auto SidecarHost::carry(core::ClosePeer &close) -> void
+auto SidecarHost::perform(core::ClosePeer &close) -> void
 {
     loop_.close(close.link);
 }
 
-auto SidecarHost::carry(core::SendToUpstreamPeer &send) -> void
+auto SidecarHost::perform(core::SendToUpstreamPeer &send) -> void
 {
     if (const auto address = addresses_.sidecar(send.upstream))
         links_.send(*address, std::move(send.message));
 }
 
-auto SidecarHost::carry(core::StartRun &start) -> void
+auto SidecarHost::perform(core::StartRun &start) -> void
 {
     runs_.start(std::move(start));
 }
 
-auto SidecarHost::carry(core::CancelRun &cancel) -> void
+auto SidecarHost::perform(core::CancelRun &cancel) -> void
 {
-    // The engine would go on computing for nobody; an error here costs only its time.
+    // Without this call the engine would continue to compute an answer that nobody reads. An error
+    // only wastes engine time, so it is ignored.
     runs_.cancel(cancel.run, [this](core::RequestId request) {
-        workers_.run([this, held = std::move(request)] { (void)upstream_.cancel(held); });
+        workers_.run([this, captured = std::move(request)] { (void)upstream_.cancel(captured); });
     });
 }
 
-auto SidecarHost::carry(core::GiveOrder &order) -> void
+auto SidecarHost::perform(core::GiveOrder &order) -> void
 {
-    workers_.run([this, held = std::move(order)] { node_.handle(upstream_.order(held)); });
+    workers_.run([this, captured = std::move(order)] { node_.handle(upstream_.order(captured)); });
 }
 
-auto SidecarHost::carry(core::HandOff &handOff) -> void
+auto SidecarHost::perform(core::HandOff &handOff) -> void
 {
     const auto address = addresses_.upstream(handOff.to);
-    workers_.run([this, held = handOff, address] {
-        const auto done = address && !upstream_.handOff(held.chat, *address);
-        node_.handle(core::HandoffDone{held.chat, held.to, done});
+    workers_.run([this, captured = handOff, address] {
+        const auto done = address && !upstream_.handOff(captured.chat, *address);
+        node_.handle(core::HandoffDone{captured.chat, captured.to, done});
     });
 }
 
-auto SidecarHost::carry(core::SendDigest &digest) -> void
+auto SidecarHost::perform(core::SendDigest &digest) -> void
 {
     if (const auto address = addresses_.digest(digest.upstream))
         digests_.send(*address, digest.digest);
 }
 
-auto SidecarHost::carry(core::WriteLog &log) -> void
+auto SidecarHost::perform(core::WriteLog &log) -> void
 {
     telemetry::writeLog(telemetry::LogLevel::Info, log.line.text());
 }
 
-auto SidecarHost::carry(core::Drained & /*drained*/) -> void
+auto SidecarHost::perform(core::Drained & /*drained*/) -> void
 {
     drain_.done();
 }
@@ -161,8 +163,8 @@
 auto SidecarHost::linkHooks() -> wire::LinkHooks
 {
     wire::LinkHooks hooks;
-    // The node knows the links that others opened; those opened here only carry what it sends to
-    // other sidecars, and settings.
+    // The node tracks incoming links only. Outgoing links carry just its messages to other
+    // sidecars, and settings.
     hooks.onUp = [this](wire::LinkId link) {
         if (!links_.peerOf(link))
             node_.handle(core::PeerLinkUp{link});
@@ -176,7 +178,7 @@
     };
     hooks.onClosed = process::logClosedLink;
     hooks.onDown = [this](wire::LinkId link) {
-        if (!links_.takeDown(link))
+        if (!links_.removeLink(link))
             node_.handle(core::PeerLinkDown{link});
     };
     return hooks;
@@ -198,10 +200,11 @@
     return hooks;
 }
 
-// A digest for upstream 0 answers the sender, which may be a router that no setting names.
+// A digest addressed to upstream 0 is a reply to the sender, which may be a router that is not in
+// the settings.
 auto SidecarHost::onDigest(core::Digest digest, const core::Address &from) -> void
 {
-    feed_.onIndexHeard(digest.settingsIndex);
+    feed_.onIndexAdvertised(digest.settingsIndex);
     std::optional<core::Digest> answer;
     node_.handle(core::DigestReceived{std::move(digest)}, [&answer](core::SidecarAction &action) {
         auto *send = std::get_if<core::SendDigest>(&action);
@@ -251,7 +254,7 @@
 {
     using core::UpstreamState;
     return {
-        // Without settings the node refuses every request.
+        // Not ready without settings, as the node refuses every request until it has them.
         [this] {
             return node_.read([](const core::SidecarNode &node) {
                 return node.state() == UpstreamState::Serving && node.settings() != nullptr;
--- a/src/sidecar/sidecar-host.h
+++ b/src/sidecar/sidecar-host.h
@@ -1,4 +1,4 @@
-/// The sidecar process round its node: links, upstream, settings, digests, time.
+/// Process around the sidecar node: connects it to links, upstream, settings, digests and timers.
 #pragma once
 
 #include "applehatch/admin/api.h"
@@ -32,13 +32,14 @@
     SidecarHost(const SidecarHost &) = delete;
     auto operator=(const SidecarHost &) -> SidecarHost & = delete;
 
-    /// Binds every address and starts. The error names the first that cannot be had.
+    /// Binds every address and starts serving. Returns the error of the first address that cannot
+    /// be bound.
     [[nodiscard]] auto start() -> std::error_code;
 
-    /// Asks the node to drain; `drain` tells when it is done.
+    /// Asks the node to drain; `drain()` reports completion.
     auto requestDrain() -> void;
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     [[nodiscard]] auto inFlight() const -> std::uint64_t;
 
     [[nodiscard]] auto drain() -> process::Drain & { return drain_; }
@@ -47,16 +48,16 @@
     using Runner = process::NodeRunner<core::SidecarNode, core::SidecarEvent, core::SidecarAction>;
 
     auto act(core::SidecarAction &action) -> void;
-    auto carry(core::SendToPeer &send) -> void;
-    auto carry(core::ClosePeer &close) -> void;
-    auto carry(core::SendToUpstreamPeer &send) -> void;
-    auto carry(core::StartRun &start) -> void;
-    auto carry(core::CancelRun &cancel) -> void;
-    auto carry(core::GiveOrder &order) -> void;
-    auto carry(core::HandOff &handOff) -> void;
-    auto carry(core::SendDigest &digest) -> void;
-    auto carry(core::WriteLog &log) -> void;
-    auto carry(core::Drained &drained) -> void;
+    auto perform(core::SendToPeer &send) -> void;
+    auto perform(core::ClosePeer &close) -> void;
+    auto perform(core::SendToUpstreamPeer &send) -> void;
+    auto perform(core::StartRun &start) -> void;
+    auto perform(core::CancelRun &cancel) -> void;
+    auto perform(core::GiveOrder &order) -> void;
+    auto perform(core::HandOff &handOff) -> void;
+    auto perform(core::SendDigest &digest) -> void;
+    auto perform(core::WriteLog &log) -> void;
+    auto perform(core::Drained &drained) -> void;
 
     auto linkHooks() -> wire::LinkHooks;
     auto digestHooks() -> wire::DigestHooks;
@@ -74,18 +75,18 @@
     telemetry::Metrics metrics_;
     process::Traffic traffic_;
     process::Drain drain_;
-    process::AddressBook addresses_;
-    std::atomic<bool> isEngine_{false}; ///< Plain services have no cache to ask about.
-    std::uint64_t cacheSequence_ = 0;   ///< The polling thread's.
+    process::AddressTable addresses_;
+    std::atomic<bool> isEngine_{false}; ///< Plain services have no cache to poll.
+    std::uint64_t cacheSequence_ = 0;   ///< Used only by the polling thread.
 
     clients::UpstreamClient upstream_;
     Runner node_;
     wire::LinkLoop loop_;
-    process::PeerLinks links_; ///< Opened here, to other sidecars.
+    process::PeerLinks links_; ///< Outgoing links, to other sidecars.
     process::SettingsFeed feed_;
     WorkerPool workers_;
     RunTable runs_;
-    wire::DigestSocket digests_; ///< After the feed, which its thread calls.
+    wire::DigestSocket digests_; ///< After the feed, which this socket's thread calls.
     std::unique_ptr<process::Periodic> statePolls_;
     std::unique_ptr<process::Periodic> cachePolls_;
     process::AdminServer admin_;
--- a/src/sidecar/worker-pool.h
+++ b/src/sidecar/worker-pool.h
@@ -1,4 +1,4 @@
-/// Threads for calls that block.
+/// Thread pool for blocking calls.
 #pragma once
 
 #include <condition_variable>
@@ -11,22 +11,22 @@
 
 namespace applehatch::sidecar {
 
-/// Grows with the tasks at hand up to its limit; beyond it tasks wait for a thread.
+/// Adds threads as tasks arrive, up to a limit; further tasks wait for a free thread.
 class WorkerPool
 {
 public:
     explicit WorkerPool(std::size_t limit);
 
-    /// As `stop`.
+    /// Calls `stop`.
     ~WorkerPool();
     WorkerPool(const WorkerPool &) = delete;
     auto operator=(const WorkerPool &) -> WorkerPool & = delete;
 
-    /// Runs `task` on a thread of the pool; dropped after `stop`. Thread-safe; never blocks on a
-    /// task.
+    /// Runs `task` on a thread of the pool, or drops it after `stop`. Thread-safe; never waits for
+    /// a task.
     auto run(std::function<void()> task) -> void;
 
-    /// Waits for all tasks, also those not yet begun.
+    /// Waits for all tasks, including those still queued.
     auto stop() -> void;
 
 private:
--- a/test/process/address-book-test.cc
+++ b/test/process/address-book-test.cc
@@ -1,4 +1,4 @@
-#include "applehatch/process/address-book.h"
+#include "applehatch/process/address-table.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -25,53 +25,53 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(address_book)
+BOOST_AUTO_TEST_SUITE(address_table)
 
-// A member is taken out of the settings with answers under way. Without its address the router
-// neither knows whose the rest of them are nor can ask for it.
-BOOST_AUTO_TEST_CASE(a_member_taken_out_is_known_until_it_is_forgotten)
+// A member is removed from the settings while its answers are in progress. Without its address the
+// router can neither attribute the rest of them to the member nor request it.
+BOOST_AUTO_TEST_CASE(a_removed_member_is_known_until_it_is_forgotten)
 {
-    process::AddressBook book;
-    BOOST_TEST(book.update(settingsOf({memberAt(1, 101), memberAt(2, 102)})).empty());
-    BOOST_TEST(book.retired().empty());
-    BOOST_TEST(book.update(settingsOf({memberAt(2, 102)})).empty());
-    BOOST_TEST((book.retired() == std::vector<core::UpstreamId>{1}));
-    BOOST_TEST((book.sidecar(1) == core::Address{"127.0.0.1", 101}));
-    BOOST_TEST(book.upstreamAt({"127.0.0.1", 101}) == 1U);
-    book.forget(2);
-    book.forget(1);
-    BOOST_TEST(book.retired().empty());
-    BOOST_TEST(!book.sidecar(1));
-    BOOST_TEST(book.upstreamAt({"127.0.0.1", 101}) == 0U);
-    BOOST_TEST(book.sidecar(2).has_value());
+    process::AddressTable table;
+    BOOST_TEST(table.update(settingsOf({memberAt(1, 101), memberAt(2, 102)})).empty());
+    BOOST_TEST(table.retired().empty());
+    BOOST_TEST(table.update(settingsOf({memberAt(2, 102)})).empty());
+    BOOST_TEST((table.retired() == std::vector<core::UpstreamId>{1}));
+    BOOST_TEST((table.sidecar(1) == core::Address{"127.0.0.1", 101}));
+    BOOST_TEST(table.upstreamAt({"127.0.0.1", 101}) == 1U);
+    table.forget(2);
+    table.forget(1);
+    BOOST_TEST(table.retired().empty());
+    BOOST_TEST(!table.sidecar(1));
+    BOOST_TEST(table.upstreamAt({"127.0.0.1", 101}) == 0U);
+    BOOST_TEST(table.sidecar(2).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_member_that_is_named_again_is_no_longer_retired)
 {
-    process::AddressBook book;
-    (void)book.update(settingsOf({memberAt(1, 101)}));
-    (void)book.update(settingsOf({}));
-    BOOST_TEST(book.update(settingsOf({memberAt(1, 101)})).empty());
-    BOOST_TEST(book.retired().empty());
-    BOOST_TEST(book.sidecar(1).has_value());
+    process::AddressTable table;
+    (void)table.update(settingsOf({memberAt(1, 101)}));
+    (void)table.update(settingsOf({}));
+    BOOST_TEST(table.update(settingsOf({memberAt(1, 101)})).empty());
+    BOOST_TEST(table.retired().empty());
+    BOOST_TEST(table.sidecar(1).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(an_address_that_another_member_takes_over_is_that_ones)
+BOOST_AUTO_TEST_CASE(an_address_taken_over_belongs_to_the_new_member)
 {
-    process::AddressBook book;
-    (void)book.update(settingsOf({memberAt(1, 101)}));
-    (void)book.update(settingsOf({memberAt(2, 101)}));
-    BOOST_TEST(book.upstreamAt({"127.0.0.1", 101}) == 2U);
-    BOOST_TEST(book.retired().empty());
+    process::AddressTable table;
+    (void)table.update(settingsOf({memberAt(1, 101)}));
+    (void)table.update(settingsOf({memberAt(2, 101)}));
+    BOOST_TEST(table.upstreamAt({"127.0.0.1", 101}) == 2U);
+    BOOST_TEST(table.retired().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_member_that_moves_leaves_its_address)
+BOOST_AUTO_TEST_CASE(a_moved_member_vacates_its_old_address)
 {
-    process::AddressBook book;
-    (void)book.update(settingsOf({memberAt(1, 101)}));
-    const auto left = book.update(settingsOf({memberAt(1, 102)}));
-    BOOST_TEST((left == std::vector<core::Address>{{"127.0.0.1", 101}}));
-    BOOST_TEST((book.sidecar(1) == core::Address{"127.0.0.1", 102}));
+    process::AddressTable table;
+    (void)table.update(settingsOf({memberAt(1, 101)}));
+    const auto vacated = table.update(settingsOf({memberAt(1, 102)}));
+    BOOST_TEST((vacated == std::vector<core::Address>{{"127.0.0.1", 101}}));
+    BOOST_TEST((table.sidecar(1) == core::Address{"127.0.0.1", 102}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/process/node-runner-test.cc
+++ b/test/process/node-runner-test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Gives each event a number and two actions that carry it.
+// Numbers the events and returns two actions per event, 2n and 2n + 1 for event n.
 class CountingNode
 {
 public:
@@ -29,20 +29,20 @@
 
 BOOST_AUTO_TEST_SUITE(node_runner)
 
-// Workers hand in events at the same time and one is held up between the decision and its actions.
-// Were the later decision carried out first, a request could be sent after its own revocation and
-// run although its caller was told that it did not.
-BOOST_AUTO_TEST_CASE(actions_are_carried_out_in_the_order_of_the_decisions)
+// Several threads submit events concurrently and one stalls between the node's decision and the
+// actions. If a later decision were performed first, a request could be sent after its own
+// revocation and run although its caller was told that it did not.
+BOOST_AUTO_TEST_CASE(actions_are_performed_in_the_order_of_the_decisions)
 {
     constexpr int threads = 8;
     constexpr int events = 2000;
-    std::vector<int> carried;
+    std::vector<int> performed;
     std::atomic<int> acting{0};
     std::atomic<bool> overlapped{false};
     NodeRunner<CountingNode, int, int> runner([&](int &action) {
         if (++acting != 1)
             overlapped = true;
-        carried.push_back(action);
+        performed.push_back(action);
         --acting;
     });
     {
@@ -56,23 +56,23 @@
         }
     }
     BOOST_TEST(!overlapped);
-    BOOST_REQUIRE_EQUAL(carried.size(), 2U * threads * events);
-    for (std::size_t index = 0; index < carried.size(); ++index)
-        BOOST_REQUIRE_EQUAL(carried[index], static_cast<int>(index) + 2);
+    BOOST_REQUIRE_EQUAL(performed.size(), 2U * threads * events);
+    for (std::size_t index = 0; index < performed.size(); ++index)
+        BOOST_REQUIRE_EQUAL(performed[index], static_cast<int>(index) + 2);
     BOOST_TEST(runner.read([](const CountingNode &node) { return node.count(); })
                == threads * events);
 }
 
-BOOST_AUTO_TEST_CASE(an_action_may_hand_in_an_event_and_another_may_be_taken)
+BOOST_AUTO_TEST_CASE(an_action_may_submit_an_event_and_another_may_be_taken)
 {
-    std::vector<int> carried;
-    std::function<void(int)> handIn;
+    std::vector<int> performed;
+    std::function<void(int)> submit;
     NodeRunner<CountingNode, int, int> runner([&](int &action) {
-        carried.push_back(action);
+        performed.push_back(action);
         if (action == 3)
-            handIn(0);
+            submit(0);
     });
-    handIn = [&](int event) { runner.handle(event); };
+    submit = [&](int event) { runner.handle(event); };
     int taken = 0;
     runner.handle(0, [&taken](int &action) {
         if (action != 2)
@@ -81,7 +81,7 @@
         return true;
     });
     BOOST_TEST(taken == 2);
-    BOOST_TEST(carried == (std::vector<int>{3, 4, 5}));
+    BOOST_TEST(performed == (std::vector<int>{3, 4, 5}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/process/programs-test.cc
+++ b/test/process/programs-test.cc
@@ -1,4 +1,4 @@
-// Both programs as an operator starts them: flags, exit codes, stopping.
+// Runs both programs as an operator does: flags, exit codes, shutdown.
 #include "applehatch/experiment/process.h"
 #include "applehatch/experiment/socket.h"
 
@@ -75,9 +75,9 @@
     BOOST_TEST(run({"--config", good.path(), "--caller_threads=x"}).first == usage);
 }
 
-// A team publishes a bound so near the mean that chats leave engines with free slots. The file is
-// valid, so a deployment that checks it must go on; whoever reads the output is told.
-BOOST_AUTO_TEST_CASE(a_load_multiple_that_is_too_small_is_warned_of_and_accepted)
+// A team publishes a load bound so close to the mean that chats move away from engines with free
+// slots. The file is valid, so a deployment that checks it must proceed, but the output warns.
+BOOST_AUTO_TEST_CASE(a_load_multiple_that_is_too_small_is_accepted_with_a_warning)
 {
     for (const auto &program : {"applehatch-router", "applehatch-sidecar"}) {
         const auto [code, output] = run({"--check", "examples/cwm-taf.jsonc"}, program);
@@ -92,8 +92,8 @@
     }
 }
 
-// Two processes are given one address, by a slip in a deployment. The second must end with its own
-// code at once; running on without a port it would look alive and serve nobody.
+// A deployment mistake gives two processes the same address. The second must exit at once with a
+// distinct code; if it kept running without a port, it would look alive and serve nobody.
 BOOST_AUTO_TEST_CASE(a_taken_address_is_refused_at_the_start)
 {
     core::Address taken{"127.0.0.1", 0};
@@ -104,7 +104,7 @@
     BOOST_TEST(output.find("event=cannot-bind") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(an_idle_process_stops_in_order_at_the_first_signal)
+BOOST_AUTO_TEST_CASE(an_idle_process_stops_cleanly_at_the_first_signal)
 {
     const TemporaryFile file(routerFile(0));
     Process router({experiment::programPath("applehatch-router"), "--config", file.path()});
--- a/test/process/settings-feed-test.cc
+++ b/test/process/settings-feed-test.cc
@@ -16,7 +16,7 @@
 
 constexpr auto ownIp = "127.0.0.1";
 
-/// Two members, so that both watch the service.
+/// Settings with two members, so that both watch the service.
 auto textWith(int queueLimit) -> std::string
 {
     std::string rows;
@@ -30,7 +30,7 @@
         + std::to_string(queueLimit) + R"(, "members": [)" + rows + "]}}}";
 }
 
-/// A feed as a sidecar has one, with what it hands to its node counted.
+/// A feed set up as in a sidecar, which counts the calls of its hooks.
 class Host
 {
 public:
@@ -52,11 +52,11 @@
 
     auto feed() -> SettingsFeed & { return feed_; }
 
-    /// The newest index in force and version of the host list that the node was told.
+    /// Newest settings index and host list version that the hooks received.
     [[nodiscard]] auto inForce() const -> core::SettingsIndex { return inForce_; }
     [[nodiscard]] auto hostList() const -> std::uint64_t { return hostList_; }
 
-    /// Calls of either hook.
+    /// Number of calls of both hooks.
     [[nodiscard]] auto told() const -> std::size_t { return told_; }
 
 private:
@@ -100,7 +100,7 @@
     std::atomic<core::SettingsIndex> inForce_{0};
     std::atomic<std::uint64_t> hostList_{0};
     std::atomic<std::size_t> told_{0};
-    AddressBook addresses_;
+    AddressTable addresses_;
     wire::LinkLoop loop_;
     PeerLinks links_;
     SettingsFeed feed_;
@@ -110,9 +110,10 @@
 
 BOOST_AUTO_TEST_SUITE(settings_feed)
 
-// A process stops while the platform changes. Its parts go one by one, and a feed that still tells
-// the node of a change makes it act on parts that are gone; the stop ends in a crash instead of 0.
-BOOST_AUTO_TEST_CASE(a_stopped_feed_tells_nothing_more)
+// A process stops while the settings change. Its components are destroyed one by one, and a feed
+// that still reports a change makes the node use destroyed components: the process crashes instead
+// of exiting with 0.
+BOOST_AUTO_TEST_CASE(a_stopped_feed_calls_no_hooks)
 {
     telemetry::startLog();
     emulator::Platform platform;
--- a/test/router/caller-answer-test.cc
+++ b/test/router/caller-answer-test.cc
@@ -17,11 +17,11 @@
 struct Served
 {
     clients::HttpResponse response;
-    AnswerOutcome outcome = AnswerOutcome::CallerLeft;
+    AnswerOutcome outcome = AnswerOutcome::CallerDisconnected;
     std::uint64_t consumed = 0;
 };
 
-// One exchange over loopback whose answer is `items`.
+// Serves one exchange over loopback, with `items` as its answer.
 auto serve(const std::vector<CallerItem> &items) -> Served
 {
     Served served;
@@ -46,7 +46,7 @@
         request.path = "/";
         request.maxBodyBytes = 2 * maxBufferedAnswer;
         BOOST_REQUIRE(!clients::exchange(request, served.response));
-        // The whole answer can be read before the thread that wrote it says how it ended.
+        // The client can read the complete answer before the thread that wrote it sets the outcome.
         answered.get_future().wait();
     }
     return served;
@@ -68,7 +68,7 @@
 
 BOOST_AUTO_TEST_SUITE(caller_answer)
 
-BOOST_AUTO_TEST_CASE(a_stream_names_where_each_event_can_be_resumed)
+BOOST_AUTO_TEST_CASE(a_stream_gives_the_resume_position_of_each_event)
 {
     const auto served = serve({head("text/event-stream"), AnswerChunk{"r1", 0, "data: a\n\n", "p1"},
                                AnswerChunk{"r1", 9, "data: b\n\n", "p2"}, AnswerEnd{"r1"}});
@@ -86,9 +86,9 @@
     BOOST_TEST(served.response.header("content-length") == "7");
 }
 
-// The upstream dies before or after the first byte of an answer. A stream that just ended would
-// look whole to its caller, who would present half a report.
-BOOST_AUTO_TEST_CASE(a_failure_is_told_before_and_inside_an_answer)
+// The upstream fails before or after the first byte of an answer. If the stream simply ended, the
+// caller would take it for complete and present half a report.
+BOOST_AUTO_TEST_CASE(a_failure_is_reported_before_and_inside_an_answer)
 {
     const auto before = serve({failure()});
     BOOST_TEST(before.response.status == 503);
@@ -109,9 +109,10 @@
     BOOST_TEST(inside.response.body.find(document) > event);
 }
 
-// An upstream answers without end, or a caller reads a stream slower than it comes. Kept in full
-// these answers would take the router's memory and every other caller's request with it.
-BOOST_AUTO_TEST_CASE(what_is_held_for_one_caller_is_bounded)
+// An upstream's answer never ends, or a caller reads a stream slower than it arrives. Buffered
+// without a bound, such answers would exhaust the router's memory and fail every other caller's
+// request.
+BOOST_AUTO_TEST_CASE(memory_for_one_caller_is_bounded)
 {
     const std::string part(1U << 20U, 'x');
     std::vector<CallerItem> items{head("text/plain")};
