--- a/include/applehatch/process/http-server.h
+++ b/include/applehatch/process/http-server.h
@@ -66,6 +66,7 @@
     core::Duration ioTimeout = std::chrono::seconds(30); ///< For a stalled read or write.
 };
 
+/// HTTP server that calls a handler on a pool of threads, once per request.
 class HttpServer
 {
 public:
--- a/include/applehatch/process/node-runner.h
+++ b/include/applehatch/process/node-runner.h
@@ -33,7 +33,8 @@
     }
 
     /// Like `handle(event)`, but first passes each action to `take`, under the lock. An action for
-    /// which `take` returns true is not performed here: it answers the sender of the event.
+    /// which `take` returns true is left to the caller of `handle`: it is an answer to the sender
+    /// of the event.
     template <typename Take>
     auto handle(Event event, Take take) -> void
     {
