--- a/include/applehatch/clients/settings-client.h
+++ b/include/applehatch/clients/settings-client.h
@@ -17,13 +17,13 @@
     explicit SettingsClient(core::Address service);
 
     /// One recursive read of `teams/`. With `waitFor`, blocks for up to `wait` until the index
-    /// exceeds it, and takes `unchanged` for an answer when it does not. Errors:
+    /// exceeds it, and accepts the answer `unchanged` when it does not. Errors:
     /// `std::errc::timed_out`, `std::errc::connection_refused`, `std::errc::bad_message`,
     /// `std::errc::operation_canceled`.
     [[nodiscard]] auto read(std::optional<core::SettingsIndex> waitFor, core::Duration wait,
                             core::SettingsRead &into) const -> std::error_code;
 
-    /// Ends a read under way within 100 ms, and every later one.
+    /// Cancels the current read within 100 ms, and every later one.
     auto stop() -> void { stopped_ = true; }
 
 private:
@@ -31,16 +31,16 @@
     std::atomic<bool> stopped_{false};
 };
 
-/// Reads the platform's list of live and leaving hosts.
+/// Reads the platform's list of live and draining hosts.
 class HostListClient
 {
 public:
     explicit HostListClient(core::Address service);
 
-    /// Brings `into` up to date within `timeout`; leaves it as it is on any error. A list that was
-    /// read before is asked for only if its version changed, as it does a few hundred times a day:
-    /// at full size a whole list has 38.7 KB, and control may take 3 KB a second. Version 0 asks
-    /// for the whole.
+    /// Updates `into` within `timeout`; leaves it unchanged on any error. The request is
+    /// conditional on the version of the list read before, which changes a few hundred times a day:
+    /// at full size a whole list has 38.7 KB, and control traffic may take 3 KB a second. Version 0
+    /// requests the whole list.
     [[nodiscard]] auto read(core::Duration timeout, core::HostList &into) const -> std::error_code;
 
 private:
--- a/include/applehatch/clients/upstream-client.h
+++ b/include/applehatch/clients/upstream-client.h
@@ -1,4 +1,4 @@
-/// What a sidecar asks its upstream beside the runs, over HTTP.
+/// The HTTP calls of a sidecar to its upstream other than runs.
 #pragma once
 
 #include "applehatch/core/sidecar-node.h"
@@ -21,10 +21,10 @@
     /// Reads the upstream's state within `timeout`; `reachable` is false on any failure.
     [[nodiscard]] auto state(core::Duration timeout) const -> core::UpstreamReport;
 
-    /// Cache events after `sequence`, which is moved on.
+    /// Reads the cache events after `sequence` and advances it.
     [[nodiscard]] auto cacheEvents(std::uint64_t &sequence) const -> core::CacheEvents;
 
-    /// Gives an order; the answer says whether the engine took it.
+    /// Sends an order; the answer says whether the engine accepted it.
     [[nodiscard]] auto order(const core::GiveOrder &order) const -> core::OrderAnswered;
 
     /// Copies a chat's KV cache to the engine at `to`.
--- a/include/applehatch/wire/datagram.h
+++ b/include/applehatch/wire/datagram.h
@@ -10,16 +10,16 @@
 
 namespace applehatch::wire {
 
-/// What happens on the socket; called on its receiving thread.
+/// Callbacks of a digest socket, called on its receiving thread unless noted otherwise.
 struct DigestHooks
 {
     std::function<void(core::Digest, const core::Address &from)> onDigest;
-    std::function<void(std::size_t bytes)> onSent;     ///< On the sending thread. May be empty.
+    std::function<void(std::size_t bytes)> onSent; ///< Called on the sending thread. May be empty.
     std::function<void(std::size_t bytes)> onReceived; ///< May be empty.
-    std::function<void()> onMalformed;                 ///< Dropped. May be empty.
+    std::function<void()> onMalformed;                 ///< A datagram was dropped. May be empty.
 };
 
-/// One bound socket with a receiving thread. Loss is normal and not reported.
+/// A bound UDP socket with a receiving thread. Lost datagrams are expected and not reported.
 class DigestSocket
 {
 public:
@@ -30,10 +30,11 @@
     DigestSocket(const DigestSocket &) = delete;
     auto operator=(const DigestSocket &) -> DigestSocket & = delete;
 
-    /// Binds and starts receiving; once. Port 0 picks a free one, given back in `bound`.
+    /// Binds the socket and starts receiving; may be called once. Port 0 picks a free port; `bound`
+    /// returns the actual address.
     [[nodiscard]] auto bind(const core::Address &address, core::Address &bound) -> std::error_code;
 
-    /// Sends one digest; dropped when it is larger than a datagram may be. Thread-safe.
+    /// Sends one digest; drops it when it exceeds `maxDatagramBytes`. Thread-safe.
     auto send(const core::Address &to, const core::Digest &digest) -> void;
 
 private:
--- a/include/applehatch/wire/link-loop.h
+++ b/include/applehatch/wire/link-loop.h
@@ -18,41 +18,43 @@
 
 using LinkId = std::uint64_t;
 
-/// What a link still held when it was closed.
+/// Messages that were unsent or unacknowledged when a link was closed.
 struct LinkBacklog
 {
-    unsigned batches = 0;          ///< Sent, and not yet taken by the peer's process.
-    core::Duration oldestBatch{0}; ///< Since the first of these was sent.
-    std::size_t queuedBytes = 0;   ///< Not yet sent.
+    unsigned batches = 0;          ///< Sent and not yet acknowledged by the peer's process.
+    core::Duration oldestBatch{0}; ///< Time since the oldest of these batches was sent.
+    std::size_t queuedBytes = 0;   ///< Size of the messages not yet sent.
 };
 
-/// What happens on links; called on the loop's thread, so they must not block.
+/// Callbacks for link events. They run on the loop's thread and must not block.
 struct LinkHooks
 {
     std::function<void(LinkId)> onUp;
     std::function<void(LinkId, core::Message)> onMessage;
     std::function<void(LinkId)> onDown;
-    /// The peer's process took a batch that was sent to it; may be empty.
+    /// The peer's process acknowledged a batch; may be empty.
     std::function<void(LinkId)> onResponded;
     /// The link was closed from this side; may be empty.
     std::function<void(LinkId, const LinkBacklog &)> onClosed;
 };
 
-/// Bytes and messages carried, by message kind, for the control-traffic measure; called on the
-/// loop's thread. Any hook may be empty.
+/// Callbacks that count bytes and messages by message kind, for the control-traffic metrics. They
+/// run on the loop's thread; any of them may be empty.
 struct LinkTraffic
 {
     std::function<void(std::string_view kind, std::size_t bytes)> onSent;
     std::function<void(std::string_view kind, std::size_t bytes)> onReceived;
-    std::function<void()> onMalformed; ///< A message or batch was dropped: out of range, too large.
+    std::function<void()> onMalformed; ///< A message or batch was out of range or too large.
 };
 
-/// Bounds on what one link holds.
+/// Limits of one link.
 struct LinkLimits
 {
-    std::size_t queuedBytes = 64U << 20U; ///< Beyond this the link is closed, with `onDown`.
-    core::Duration respondedPeriod = std::chrono::milliseconds(500); ///< Least, of `onResponded`.
-    core::Duration connectTimeout = std::chrono::seconds(1); ///< Until `onUp`, else `onDown`.
+    std::size_t queuedBytes = 64U << 20U; ///< Above this the link closes, with `onDown`.
+    /// Minimum interval between two calls of `onResponded`.
+    core::Duration respondedPeriod = std::chrono::milliseconds(500);
+    /// A link that is not up after this time is closed, with `onDown`.
+    core::Duration connectTimeout = std::chrono::seconds(1);
 };
 
 /// One event-loop thread that owns every Cap'n Proto capability of the process.
@@ -61,13 +63,14 @@
 public:
     LinkLoop(LinkHooks hooks, LinkTraffic traffic, LinkLimits limits = {});
 
-    /// As `stop`.
+    /// Calls `stop`.
     ~LinkLoop();
     LinkLoop(const LinkLoop &) = delete;
     auto operator=(const LinkLoop &) -> LinkLoop & = delete;
 
-    /// Accepts links on `address`; port 0 picks a free one, given back in `bound`.
-    /// Errors: `std::errc::invalid_argument`, `std::errc::address_in_use`. Not from a hook.
+    /// Accepts links on `address`; port 0 picks a free port; `bound` returns the address.
+    /// Errors: `std::errc::invalid_argument`, `std::errc::address_in_use`. Must not
+    /// be called from a hook.
     [[nodiscard]] auto listen(const core::Address &address, core::Address &bound)
         -> std::error_code;
 
@@ -77,20 +80,20 @@
     /// Queues a message; dropped when the link is down. Thread-safe.
     auto send(LinkId link, core::Message message) -> void;
 
-    /// Runs `task` on the loop's thread, which it must not block; dropped after `stop`. What it
-    /// puts on the loop must be gone before `stop`. Thread-safe.
+    /// Runs `task` on the loop's thread, which it must not block; dropped after `stop`. Every
+    /// object that the task creates on the loop must be destroyed before `stop`. Thread-safe.
     auto run(std::function<void(kj::AsyncIoContext &)> task) -> void;
 
-    /// Runs `task` on the loop's thread once each `period`, each time after the links that had
-    /// something to read had their turn. Until `stop`; thread-safe.
+    /// Runs `task` on the loop's thread once per `period` until `stop`, each time after all links
+    /// with readable data were served. Thread-safe.
     auto every(core::Duration period, std::function<void()> task) -> void;
 
     /// Closes a link without `onDown`. Thread-safe.
     auto close(LinkId link) -> void;
 
-    /// Closes every link without `onDown` and joins the thread; no hook is called afterwards. What
-    /// was sent before goes out, for up to a second; what is sent or opened since is dropped. Once;
-    /// not from a hook.
+    /// Closes every link without `onDown` and joins the thread; no hook is called afterwards.
+    /// Messages queued before the call are still sent, for up to a second; later messages and links
+    /// are dropped. Later calls do nothing; must not be called from a hook.
     auto stop() -> void;
 
 private:
--- a/src/clients/http.cc
+++ b/src/clients/http.cc
@@ -25,12 +25,12 @@
     return std::make_error_code(code);
 }
 
-/// One exchange on an event loop of its own, which runs in the calling thread.
+/// One exchange on its own event loop, which runs in the calling thread.
 ///
-/// A connection may go silent for good in the middle of an answer. CivetWeb's client bounds only
-/// the wait for the answer's head, and a read of its body then never returns: the thread that
-/// watches the settings would hang, and changes would no longer arrive here. The promises below end
-/// at the timer, whatever the connection does.
+/// A connection may go silent forever in the middle of a response. CivetWeb's client limits only
+/// the wait for the response head, and reading the body would then never return: the thread that
+/// watches the settings would hang, and the process would receive no more changes. Here a timer
+/// ends the promises, whatever the connection does.
 class Exchange
 {
 public:
--- a/src/clients/settings-client.cc
+++ b/src/clients/settings-client.cc
@@ -16,8 +16,8 @@
 constexpr std::size_t mostAnswerBytes = 64U << 20U;
 constexpr core::Duration readTimeout = std::chrono::seconds(10);
 constexpr std::string_view teamPrefix = "teams/";
-/// A watch that is not answered this long after its wait is lost. Something between the two ends
-/// may lose track of the connections of all readers at once; a change must not wait for longer.
+/// A watch that is not answered this long after its wait counts as lost. A middlebox may lose the
+/// connections of all readers at once, and a change must not be delayed for longer.
 constexpr core::Duration watchGrace = std::chrono::seconds(4);
 constexpr int ok = 200;
 constexpr int notModified = 304;
@@ -36,7 +36,7 @@
     return failed == std::errc() && stop == end ? std::optional(index) : std::nullopt;
 }
 
-/// The team that a key names; empty for a folder or a key of something else below the tree.
+/// The team that a key names; empty for a folder or for any other key in the tree.
 auto teamOf(const std::string &key) -> std::string
 {
     if (key.compare(0, teamPrefix.size(), teamPrefix) != 0) {
@@ -52,7 +52,7 @@
     return found == row.end() ? nullptr : found->get_ptr<const std::string *>();
 }
 
-/// Takes one row; false when it is not what the service answers with.
+/// Parses one row; false when it does not have the service's format.
 auto takeRow(const Json &row, core::SettingsRead &into) -> bool
 {
     const auto *key = row.is_object() ? stringAt(row, "Key") : nullptr;
--- a/src/clients/upstream-client-exchange.cc
+++ b/src/clients/upstream-client-exchange.cc
@@ -12,7 +12,7 @@
 
 constexpr std::size_t maxHeaders = 100;
 constexpr std::size_t maxHeaderBytes = 32768;
-constexpr auto listeningStep = std::chrono::milliseconds(50);
+constexpr auto maxTimerStep = std::chrono::milliseconds(50);
 
 constexpr std::array<std::string_view, 10> connectionHeaders = {
     "connection", "content-length", "host",    "keep-alive",        "proxy-connection",
@@ -152,7 +152,8 @@
     auto call = client_->request(method, request.path.c_str(), toKj(request.headers), length);
     if (!request.body.empty()) {
         auto writing = call.body->write(request.body.data(), request.body.size());
-        // An upstream that refuses early closes while the body is on its way; its answer counts.
+        // An upstream that refuses early may close while the body is being sent. Its answer is
+        // still read, so a failed upload is ignored.
         upload_ = writing.attach(kj::mv(call.body)).eagerlyEvaluate([](kj::Exception &&) {});
     } else {
         call.body = nullptr;
@@ -174,14 +175,14 @@
     });
 }
 
-auto afterListening(kj::Timer &timer, core::Duration limit) -> kj::Promise<void>
+auto afterStallAwareDelay(kj::Timer &timer, core::Duration limit) -> kj::Promise<void>
 {
     if (limit <= core::Duration::zero()) {
         return kj::READY_NOW;
     }
-    const auto step = std::min<core::Duration>(limit, listeningStep);
+    const auto step = std::min<core::Duration>(limit, maxTimerStep);
     return timer.afterDelay(step.count() * kj::MICROSECONDS).then([&timer, limit, step] {
-        return afterListening(timer, limit - step);
+        return afterStallAwareDelay(timer, limit - step);
     });
 }
 
--- a/src/clients/upstream-client-exchange.h
+++ b/src/clients/upstream-client-exchange.h
@@ -12,14 +12,14 @@
 
 namespace applehatch::clients {
 
-/// How far an exchange came.
+/// Progress of an exchange.
 enum class ExchangeStage {
-    NotConnected, ///< Nothing was handed to the network.
+    NotConnected, ///< Nothing was sent.
     Sent,         ///< Some of the request may have arrived.
     HeadRead,
 };
 
-/// What is sent.
+/// An HTTP request.
 struct ExchangeRequest
 {
     std::string method;
@@ -28,12 +28,12 @@
     std::string_view body; ///< Must outlive the exchange.
 };
 
-/// The head of what came back.
+/// The head of an HTTP response.
 struct ExchangeHead
 {
     int status = 0;
-    core::Headers headers; ///< Without those that concern only this connection.
-    bool framed = false;   ///< The end of the body can be told from a broken connection.
+    core::Headers headers; ///< Without hop-by-hop headers.
+    bool framed = false;   ///< The end of the body differs from a broken connection.
 };
 
 /// True when the request can be written as HTTP without changing its meaning.
@@ -58,7 +58,7 @@
     /// Opens the connection.
     [[nodiscard]] auto connect() -> kj::Promise<void>;
 
-    /// Sends the request and reads the head of the answer; none when it is larger than allowed.
+    /// Sends the request and reads the response head; empty when the head is larger than allowed.
     [[nodiscard]] auto send(const ExchangeRequest &request)
         -> kj::Promise<std::optional<ExchangeHead>>;
 
@@ -76,14 +76,15 @@
     ExchangeStage stage_ = ExchangeStage::NotConnected;
     kj::Own<kj::AsyncIoStream> stream_;
     kj::Own<kj::HttpClient> client_;
-    kj::Maybe<kj::Promise<void>> upload_; ///< The request's body on its way.
+    kj::Maybe<kj::Promise<void>> upload_; ///< Sends the request's body.
     kj::Own<kj::AsyncInputStream> body_;
     kj::Array<char> block_;
 };
 
-/// Ready once `limit` has passed, counted in steps that a hold-up of this process does not
-/// lengthen: after one the upstream's bytes lie unread, and it would be blamed for a silence that
-/// was ours.
-[[nodiscard]] auto afterListening(kj::Timer &timer, core::Duration limit) -> kj::Promise<void>;
+/// Resolves after `limit`, counted in short timer steps of which a stall of this process uses up at
+/// most one. After a stall the upstream's bytes are still unread, and the upstream would be blamed
+/// for a silence that this process caused.
+[[nodiscard]] auto afterStallAwareDelay(kj::Timer &timer, core::Duration limit)
+    -> kj::Promise<void>;
 
 } // namespace applehatch::clients
--- a/src/clients/upstream-client-stream-end.cc
+++ b/src/clients/upstream-client-stream-end.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// With either line ending that the event-stream format allows.
+/// The end marker with either line ending that the event-stream format allows.
 constexpr std::array<std::string_view, 2> markers = {"data: [DONE]\n\n", "data: [DONE]\r\n\r\n"};
 constexpr std::size_t tailBytes = 64;
 constexpr auto hexBase = 16;
--- a/src/clients/upstream-client-stream-end.h
+++ b/src/clients/upstream-client-stream-end.h
@@ -8,10 +8,10 @@
 
 namespace applehatch::clients {
 
-/// Watches a stream of server-sent events for its last one, `data: [DONE]`.
+/// Detects the last event, `data: [DONE]`, in a stream of server-sent events.
 ///
-/// A connection that breaks can look like an orderly close. Without the marker a caller would get
-/// the first half of an answer as if it were all of it.
+/// A broken connection can look like an orderly close. Without the marker, a caller would receive
+/// the first half of an answer as if it were complete.
 class StreamEnd
 {
 public:
@@ -20,11 +20,11 @@
 
     auto take(std::string_view data) -> void;
 
-    /// The marker was read, at the start of a line and with its empty line.
+    /// True once the marker was read, at the start of a line and followed by an empty line.
     [[nodiscard]] auto reached() const -> bool;
 
-    /// As `reached`, at an orderly end of the body: also true for a resumed stream of which only
-    /// the last part of the marker was missing.
+    /// Like `reached`, for an orderly end of the body: also true for a resumed stream that
+    /// consisted only of the last part of the marker.
     [[nodiscard]] auto reachedAtClose() const -> bool;
 
 private:
@@ -33,10 +33,10 @@
     std::string tail_;
 };
 
-/// A chat's key as engines take it: 16 hexadecimal digits.
+/// Formats a chat's key as engines expect it: 16 hexadecimal digits.
 [[nodiscard]] auto chatHex(core::ChatKey chat) -> std::string;
 
-/// The key from its digits; 0 when they are none.
+/// Parses a chat's key from its hexadecimal digits; 0 when the text is not a key.
 [[nodiscard]] auto chatFromHex(std::string_view text) -> core::ChatKey;
 
 } // namespace applehatch::clients
--- a/src/clients/upstream-client.cc
+++ b/src/clients/upstream-client.cc
@@ -17,14 +17,14 @@
 constexpr std::size_t maxAnswerBytes = 1U << 20U;
 constexpr std::size_t maxContextBytes = 64U << 20U;
 
-/// An answer read whole.
+/// A completely read answer.
 struct Answer
 {
     int status = 0;
     std::string body;
 };
 
-/// One short call on an event loop of its own, which runs in the calling thread.
+/// One short call on its own event loop, which runs in the calling thread.
 class ShortCall
 {
 public:
@@ -33,7 +33,7 @@
         , exchange_(io_.provider->getNetwork(), *table_, upstream)
     { }
 
-    /// None when it broke, took longer than `limit` or answered more than `maxBytes`.
+    /// Empty when the call failed, took longer than `limit` or its body exceeded `maxBytes`.
     auto run(const ExchangeRequest &request, core::Duration limit) -> std::optional<Answer>
     {
         using Result = std::optional<Answer>;
@@ -48,7 +48,7 @@
                         })
                         .then([this](bool whole) { return whole ? Result(answer_) : Result(); });
         auto tooLate =
-            afterListening(io_.provider->getTimer(), limit).then([] { return Result(); });
+            afterStallAwareDelay(io_.provider->getTimer(), limit).then([] { return Result(); });
         return work.exclusiveJoin(kj::mv(tooLate)).wait(io_.waitScope);
     }
 
@@ -78,7 +78,7 @@
     try {
         return ShortCall(upstream, maxBytes).run(request, limit);
     } catch (const kj::Exception &) {
-        // Every way of failing is alike to a caller that asks again later.
+        // Callers retry later and do not distinguish between failures.
         return std::nullopt;
     }
 }
--- a/src/clients/upstream-runs.cc
+++ b/src/clients/upstream-runs.cc
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr core::Duration connectLimit = std::chrono::seconds(2);
-/// An engine that reads a long context for the first time pauses longer than ever between tokens.
+/// An engine that processes a long context for the first time takes longer than between tokens.
 constexpr int firstByteFactor = 4;
 constexpr int nextByteFactor = 1;
 constexpr auto chatPath = "/v1/chat/completions";
-constexpr core::Duration sweepPeriod = std::chrono::milliseconds(50);
-/// Read of one answer before every other connection had its turn.
-constexpr std::size_t turnBytes = 65536;
+constexpr core::Duration silenceCheckInterval = std::chrono::milliseconds(50);
+/// Bytes read from one answer before all other connections are served.
+constexpr std::size_t maxBytesPerTurn = 65536;
 
 auto setHeader(core::Headers &headers, std::string_view name, const std::string &value) -> void
 {
@@ -28,7 +28,8 @@
     }
 }
 
-/// Whoever goes on with a stream may never have seen the call that began it.
+/// True when the run resumes a stream without the original call, which the resuming router may
+/// never have seen.
 auto isContinuation(const core::StartRun &start) -> bool
 {
     return start.call.method.empty();
@@ -58,15 +59,16 @@
         && headerValue(head.headers, "Content-Type").starts_with("text/event-stream");
 }
 
-/// A plain answer comes in one piece after the whole run, so only a stream's pauses tell that an
-/// upstream went silent; a plain answer may take until its deadline.
-auto longestPause(const core::StartRun &start, core::Duration silence, int factor) -> core::Duration
+/// Maximum wait for the next byte. A plain answer arrives in one piece after the whole run, so only
+/// pauses of a stream show that an upstream went silent; a plain answer may take until its
+/// deadline.
+auto maxPauseFor(const core::StartRun &start, core::Duration silence, int factor) -> core::Duration
 {
     return start.call.stream ? factor * silence : std::max(silence, start.remaining);
 }
 
-/// How a run ended whose connection broke or ended before its answer was whole.
-auto breakAt(ExchangeStage stage) -> core::RunBreak
+/// The outcome of a run whose connection broke or ended before the answer was complete.
+auto breakReason(ExchangeStage stage) -> core::RunBreak
 {
     switch (stage) {
     case ExchangeStage::NotConnected:
@@ -79,8 +81,8 @@
     return core::RunBreak::EndedEarly;
 }
 
-/// How a run ended that was given up here, which is `how` once anything was sent.
-auto breakOff(ExchangeStage stage, core::RunBreak how) -> core::RunBreak
+/// The outcome of a run that this process aborted: `how` if anything was sent.
+auto abortReason(ExchangeStage stage, core::RunBreak how) -> core::RunBreak
 {
     return stage == ExchangeStage::NotConnected ? core::RunBreak::NeverSent : how;
 }
@@ -98,11 +100,11 @@
         , end(start.resumeFrom > 0)
     { }
 
-    /// Longest wait for the next byte from now on.
-    auto allow(core::Duration longest) -> void
+    /// Sets the maximum wait for the next byte and restarts the count.
+    auto setMaxPause(core::Duration limit) -> void
     {
-        pause = longest;
-        quiet = core::Duration::zero();
+        maxPause = limit;
+        silentFor = core::Duration::zero();
     }
 
     core::StartRun start;
@@ -110,11 +112,11 @@
     Exchange exchange;
     StreamEnd end;
     bool events = false; ///< The answer is an event stream.
-    bool framed = false; ///< Its end can be told from a broken connection.
-    core::Duration pause{0};
-    core::Duration quiet{0}; ///< Listened for without a byte.
-    std::string unreported;  ///< Read and not yet reported.
-    std::size_t readInTurn = 0;
+    bool framed = false; ///< The answer's end differs from a broken connection.
+    core::Duration maxPause{0};
+    core::Duration silentFor{0}; ///< Time without a byte, in check intervals.
+    std::string unreported;      ///< Bytes read and not yet reported.
+    std::size_t bytesReadInTurn = 0;
     kj::Promise<void> work = nullptr;
 };
 
@@ -134,19 +136,19 @@
 auto UpstreamRuns::start(core::StartRun start) -> void
 {
     const auto id = start.run;
-    auto &held = runs_[id];
-    held = kj::heap<Run>(network_, *table_, upstream_, std::move(start));
-    auto &run = *held;
+    auto &entry = runs_[id];
+    entry = kj::heap<Run>(network_, *table_, upstream_, std::move(start));
+    auto &run = *entry;
     if (!sendable(run.request)) {
         finish(run, core::RunBroken{id, core::RunBreak::NeverSent});
         return;
     }
-    if (!sweeping_) {
-        sweeping_ = true;
-        tasks_.add(sweepOn());
+    if (!checkingSilence_) {
+        checkingSilence_ = true;
+        tasks_.add(scheduleSilenceCheck());
     }
-    run.allow(connectLimit);
-    run.work = carryOut(run).eagerlyEvaluate(
+    run.setMaxPause(connectLimit);
+    run.work = execute(run).eagerlyEvaluate(
         [this, &run](kj::Exception && /*broken*/) { end(run, false); });
 }
 
@@ -158,15 +160,15 @@
     }
     auto &run = *found->second;
     const auto request = run.start.request;
-    finish(run, core::RunBroken{id, breakOff(run.exchange.stage(), core::RunBreak::Lost)});
+    finish(run, core::RunBroken{id, abortReason(run.exchange.stage(), core::RunBreak::Lost)});
     return request;
 }
 
-auto UpstreamRuns::carryOut(Run &run) -> kj::Promise<void>
+auto UpstreamRuns::execute(Run &run) -> kj::Promise<void>
 {
     return run.exchange.connect()
         .then([this, &run] {
-            run.allow(longestPause(run.start, silence_, firstByteFactor));
+            run.setMaxPause(maxPauseFor(run.start, silence_, firstByteFactor));
             return run.exchange.send(run.request);
         })
         .then([this, &run](std::optional<ExchangeHead> &&head) -> kj::Promise<void> {
@@ -174,7 +176,7 @@
                 end(run, false);
                 return kj::READY_NOW;
             }
-            run.allow(longestPause(run.start, silence_, nextByteFactor));
+            run.setMaxPause(maxPauseFor(run.start, silence_, nextByteFactor));
             takeHead(run, *head);
             return readOn(run);
         });
@@ -200,21 +202,21 @@
             end(run, true);
             return kj::READY_NOW;
         }
-        run.readInTurn += data.size();
-        if (run.readInTurn < turnBytes) {
+        run.bytesReadInTurn += data.size();
+        if (run.bytesReadInTurn < maxBytesPerTurn) {
             return readOn(run);
         }
-        // Timers are due only after all sockets were looked at.
-        run.readInTurn = 0;
+        // Timers fire only after all sockets were polled.
+        run.bytesReadInTurn = 0;
         return timer_.afterDelay(0 * kj::SECONDS).then([this, &run] { return readOn(run); });
     });
 }
 
-// What lies ready is read first and reported as one: most of the work for a chunk does not depend
-// on its size, and a process that is behind would stay behind with one report for each token.
+// Reads all available bytes before reporting them as one chunk: most of the work for a chunk does
+// not depend on its size, and a process that is behind would stay behind with one report per token.
 auto UpstreamRuns::take(Run &run, std::string_view data) -> void
 {
-    run.quiet = core::Duration::zero();
+    run.silentFor = core::Duration::zero();
     run.end.take(data);
     if (run.unreported.empty()) {
         unreported_.push_back(run.start.run);
@@ -239,7 +241,7 @@
 
 auto UpstreamRuns::reportData(Run &run) -> void
 {
-    run.readInTurn = 0;
+    run.bytesReadInTurn = 0;
     if (!run.unreported.empty()) {
         report_(core::RunChunk{run.start.run, std::exchange(run.unreported, {})});
     }
@@ -250,7 +252,7 @@
     if (whole) {
         finish(run, core::RunEnd{run.start.run});
     } else {
-        finish(run, core::RunBroken{run.start.run, breakAt(run.exchange.stage())});
+        finish(run, core::RunBroken{run.start.run, breakReason(run.exchange.stage())});
     }
 }
 
@@ -260,32 +262,33 @@
     const auto found = runs_.find(run.start.run);
     auto ended = kj::mv(found->second);
     runs_.erase(found);
-    // Destroyed one turn later: the caller may be the run's own promise.
+    // Destroys the run one turn later: the caller may be the run's own promise.
     tasks_.add(kj::evalLater([] {}).attach(kj::mv(ended)));
     report_(std::move(outcome));
 }
 
-auto UpstreamRuns::sweepOn() -> kj::Promise<void>
+auto UpstreamRuns::scheduleSilenceCheck() -> kj::Promise<void>
 {
-    return timer_.afterDelay(sweepPeriod.count() * kj::MICROSECONDS)
-        .then([this] { return kj::evalLast([this] { sweep(); }); })
+    return timer_.afterDelay(silenceCheckInterval.count() * kj::MICROSECONDS)
+        .then([this] { return kj::evalLast([this] { checkSilence(); }); })
         .then([this]() -> kj::Promise<void> {
             if (runs_.empty()) {
-                sweeping_ = false;
+                checkingSilence_ = false;
                 return kj::READY_NOW;
             }
-            return sweepOn();
+            return scheduleSilenceCheck();
         });
 }
 
-// Counts what it meant to wait, not what passed: after a hold-up of this process the upstream's
-// bytes lie unread, and it would be blamed for a silence that was ours.
-auto UpstreamRuns::sweep() -> void
+// Counts nominal check intervals instead of elapsed time: after a stall of this process the
+// upstream's bytes are still unread, and the upstream would be blamed for a silence that this
+// process caused.
+auto UpstreamRuns::checkSilence() -> void
 {
     std::vector<core::RunId> silent;
     for (auto &[id, run] : runs_) {
-        run->quiet += sweepPeriod;
-        if (run->quiet >= run->pause) {
+        run->silentFor += silenceCheckInterval;
+        if (run->silentFor >= run->maxPause) {
             silent.push_back(id);
         }
     }
@@ -293,7 +296,7 @@
         const auto found = runs_.find(id);
         if (found != runs_.end()) {
             const auto stage = found->second->exchange.stage();
-            finish(*found->second, core::RunBroken{id, breakOff(stage, core::RunBreak::Silent)});
+            finish(*found->second, core::RunBroken{id, abortReason(stage, core::RunBreak::Silent)});
         }
     }
 }
--- a/src/wire/connection.cc
+++ b/src/wire/connection.cc
@@ -11,18 +11,20 @@
 
 namespace {
 
-// A peer that stops reading holds at most this many batches inside the RPC system; all else waits
-// in our own queue, where it is counted against the link's cap.
+// Maximum unanswered batches inside the RPC system when a peer stops reading. Further messages wait
+// in `queued_`, where they count against the limit of the link.
 constexpr std::size_t maxOutstanding = 8;
-// The peer's answer to a batch is its sign of life, so a batch must not take a busy peer seconds.
+// The peer's answer to a batch serves as its heartbeat, so a batch must be small enough that a busy
+// peer does not need seconds for it.
 constexpr std::size_t maxBatchBytes = 64U << 10U;
 constexpr std::size_t maxBatchMessages = 256;
-// Parts of answers go out in batches this far apart: an envelope costs both sides more than a part.
-constexpr core::Duration gatherPeriod = std::chrono::milliseconds(2);
-// Chunks of one answer that wait together become one up to this size.
+// Interval between batches of answer chunks. Chunks are batched because an RPC envelope costs both
+// sides more than a chunk.
+constexpr core::Duration batchInterval = std::chrono::milliseconds(2);
+// Queued adjacent chunks of one answer are merged up to this size.
 constexpr std::size_t maxMergedBytes = 16U << 10U;
 // The RPC system reads no further call of a connection until the last one was answered.
-constexpr std::size_t unansweredCallWords = 1;
+constexpr std::size_t maxUnansweredCallWords = 1;
 constexpr int nestingLimit = 32;
 
 // A batch is at most one message larger than `maxBatchBytes`, plus the RPC envelope.
@@ -105,7 +107,7 @@
         rpc_.emplace(capnp::makeRpcServer(network_, kj::heap<PortServer>(*this)));
     else
         rpc_.emplace(capnp::makeRpcClient(network_));
-    KJ_ASSERT_NONNULL(rpc_).setFlowLimit(unansweredCallWords);
+    KJ_ASSERT_NONNULL(rpc_).setFlowLimit(maxUnansweredCallWords);
     disconnected_ = network_.onDisconnect()
                         .then([this] { breakOff(); })
                         .eagerlyEvaluate([this](kj::Exception && /*exception*/) { breakOff(); });
@@ -136,7 +138,7 @@
     peer_ = kj::mv(peer);
     up_ = true;
     hooks_.onUp();
-    for (auto &message : std::exchange(early_, {}))
+    for (auto &message : std::exchange(receivedBeforeUp_, {}))
         hooks_.onMessage(std::move(message));
     flush();
 }
@@ -162,10 +164,10 @@
 
 auto Connection::deliver(core::Message message) -> void
 {
-    // The listener may speak as soon as it knows our end, and its answer to `open` can be read
-    // later; a message handed on before `onUp` would come from a link nobody knows.
+    // The listening side may send as soon as it has our capability, and its messages can be read
+    // before its answer to `open`. Before `onUp` the owner does not know the link yet.
     if (!up_)
-        early_.push_back(std::move(message));
+        receivedBeforeUp_.push_back(std::move(message));
     else if (!broken_)
         hooks_.onMessage(std::move(message));
 }
@@ -185,14 +187,14 @@
         queuedOthers_ += std::holds_alternative<core::Chunk>(message) ? 0 : 1;
         queued_.push_back(std::move(message));
     }
-    // A peer that stopped reading, with its kernel still accepting bytes, would otherwise grow this
-    // queue until the process is killed; its requests go on over another link.
+    // When a peer stops reading while its kernel still accepts bytes, this queue would otherwise
+    // grow until the process is killed. The peer's requests continue over another link.
     if (queuedBytes_ > limits_.queuedBytes)
         breakOff();
 }
 
-// A peer that is behind gets fewer and larger messages the more waits for it, so that it can catch
-// up: most of its work for a chunk does not depend on the chunk's size.
+// Merges adjacent chunks so that a slow peer receives fewer and larger messages and can catch up:
+// most of its work for a chunk does not depend on the chunk's size.
 auto Connection::mergeChunk(core::Message &message) -> bool
 {
     const auto number = sentMessages_ + queued_.size();
@@ -231,14 +233,14 @@
 auto Connection::isDue() const -> bool
 {
     return queuedOthers_ > 0 || queuedBytes_ >= maxBatchBytes
-        || std::chrono::steady_clock::now() - sentAt_ >= gatherPeriod;
+        || std::chrono::steady_clock::now() - sentAt_ >= batchInterval;
 }
 
 auto Connection::flushLater() -> void
 {
     if (std::exchange(flushPlanned_, true))
         return;
-    KJ_ASSERT_NONNULL(tasks_)->add(hooks_.after(gatherPeriod).then([this] {
+    KJ_ASSERT_NONNULL(tasks_)->add(hooks_.after(batchInterval).then([this] {
         flushPlanned_ = false;
         flush();
     }));
@@ -284,7 +286,7 @@
     return backlog;
 }
 
-// A report of each batch would cost the receiver of the reports as much as the batch itself.
+// Rate-limited: one report per batch would cost its receiver as much as the batch itself.
 auto Connection::responded() -> void
 {
     const auto now = std::chrono::steady_clock::now();
--- a/src/wire/connection.h
+++ b/src/wire/connection.h
@@ -1,4 +1,4 @@
-/// One TCP connection and the link it carries; lives on the loop's thread only.
+/// One TCP connection and the link it carries; used on the loop's thread only.
 #pragma once
 
 #include "applehatch/wire/link-loop.h"
@@ -16,14 +16,14 @@
 
 namespace applehatch::wire {
 
-/// What a connection reports to its loop; a report may not destroy the connection at once.
+/// Callbacks from a connection to its loop. They must not destroy the connection immediately.
 struct ConnectionHooks
 {
     std::function<void()> onUp;
     std::function<void(core::Message)> onMessage;
     std::function<void()> onResponded; ///< A batch was answered.
-    std::function<void()> onBroken;    ///< Closed by the peer, refused, silent or over its cap.
-    /// Ready after so long, and once every connection that has something to read had its turn.
+    std::function<void()> onBroken;    ///< Closed by the peer, refused, silent or over its limit.
+    /// Resolves after the given time, once every connection with readable data was served.
     std::function<kj::Promise<void>(core::Duration)> after;
 };
 
@@ -36,22 +36,22 @@
     Connection(const Connection &) = delete;
     auto operator=(const Connection &) -> Connection & = delete;
 
-    /// Asks the peer for its end of the link; for the side that connected.
+    /// Requests the peer's link capability; called by the connecting side.
     auto requestLink() -> kj::Promise<void>;
 
     [[nodiscard]] auto up() const -> bool { return up_; }
 
-    /// The peer connected and has not asked for a link.
+    /// True when the peer connected and has not requested a link yet.
     [[nodiscard]] auto unannounced() const -> bool { return accepted_ && !up_; }
 
-    /// Queues a message; `flush` sends what is queued, parts of answers once those of the next
-    /// moment have joined them.
+    /// Queues a message. `flush` sends the queue, delaying answer chunks briefly so that later
+    /// chunks share their batch.
     auto enqueue(core::Message message) -> void;
     auto flush() -> void;
 
     [[nodiscard]] auto backlog() const -> LinkBacklog;
 
-    /// Something given to send was not yet taken by the peer, which may still do so.
+    /// True while messages are unsent or unanswered and the peer may still take them.
     [[nodiscard]] auto isSending() const -> bool
     {
         return up_ && !broken_ && (!queued_.empty() || !outstanding_.empty());
@@ -79,15 +79,15 @@
     bool broken_ = false;
     std::deque<core::Message> queued_;
     std::size_t queuedBytes_ = 0;
-    std::size_t queuedOthers_ = 0;   ///< Messages in `queued_` that are no part of an answer.
-    std::uint64_t sentMessages_ = 0; ///< The number of the first message in `queued_`.
-    /// The number of each request's last queued chunk, while nothing else was queued after it.
+    std::size_t queuedOthers_ = 0;   ///< Messages in `queued_` other than answer chunks.
+    std::uint64_t sentMessages_ = 0; ///< Sequence number of the first in `queued_`.
+    /// Sequence number of each request's last queued chunk; cleared when another kind is queued.
     std::unordered_map<core::RequestId, std::uint64_t> lastChunks_;
-    std::vector<core::Message> early_; ///< Arrived before the peer's end of the link was known.
-    /// When each batch was sent that is not yet answered.
+    std::vector<core::Message> receivedBeforeUp_; ///< Received before the link was up.
+    /// Send times of the batches that are not yet answered.
     std::deque<std::chrono::steady_clock::time_point> outstanding_;
-    std::optional<std::chrono::steady_clock::time_point> respondedAt_; ///< Last reported.
-    std::chrono::steady_clock::time_point sentAt_;                     ///< The last batch.
+    std::optional<std::chrono::steady_clock::time_point> respondedAt_; ///< Last `onResponded`.
+    std::chrono::steady_clock::time_point sentAt_;                     ///< Last batch.
     bool flushPlanned_ = false;
 
     kj::Own<kj::AsyncIoStream> stream_;
--- a/src/wire/datagram.cc
+++ b/src/wire/datagram.cc
@@ -74,7 +74,7 @@
 
 auto DigestSocket::State::receiveOne() -> void
 {
-    // One byte more than allowed, so that a longer datagram is seen to be too long.
+    // One byte more than allowed, so that an oversized datagram is detected.
     std::array<char, maxDatagramBytes + 1> buffer{};
     sockaddr_in from{};
     socklen_t fromSize = sizeof(from);
--- a/src/wire/link-loop.cc
+++ b/src/wire/link-loop.cc
@@ -18,17 +18,17 @@
 
 namespace {
 
-constexpr auto pauseAfterFailure = 100 * kj::MILLISECONDS;
-constexpr auto sendsRestFor = 1 * kj::SECONDS;
-constexpr auto sendsRestCheck = 5 * kj::MILLISECONDS;
+constexpr auto acceptRetryDelay = 100 * kj::MILLISECONDS;
+constexpr auto drainTimeout = 1 * kj::SECONDS;
+constexpr auto drainCheckInterval = 5 * kj::MILLISECONDS;
 
-// The loop that the current thread runs, if any.
+// The loop that runs on the current thread, if any.
 thread_local const void *loopOfThisThread = nullptr;
 
 using Wake = kj::Own<kj::CrossThreadPromiseFulfiller<void>>;
 
-// One thing that another thread asks of the loop: a message for a link, or a task.
-struct Asked
+// A command posted to the loop: a message for a link, or a task.
+struct Command
 {
     LinkId link = 0;
     std::optional<core::Message> message;
@@ -44,27 +44,28 @@
     LinkLimits limits;
     std::atomic<LinkId> nextLink{1};
 
-    // Guards `asked` and `wake`; the innermost lock of the process, nothing is called under it.
+    // Guards `commands` and `wake`. It is the innermost lock of the process: no hook or
+    // task is called while it is held.
     std::mutex mutex;
-    std::vector<Asked> asked;
-    kj::Maybe<Wake> wake; ///< Ends the loop's sleep; none while it is awake for what was asked.
+    std::vector<Command> commands;
+    kj::Maybe<Wake> wake; ///< Wakes the sleeping loop; empty once a wake-up was sent.
 
-    // Below: the loop's thread only.
+    // The members below are used on the loop's thread only.
     kj::AsyncIoContext *io = nullptr;
-    kj::Own<kj::PromiseFulfiller<void>> turn; ///< Makes the loop take what was asked.
+    kj::Own<kj::PromiseFulfiller<void>> turn; ///< Makes the loop run the posted commands.
     kj::Own<kj::TaskSet> tasks;
     std::unordered_map<LinkId, kj::Own<Connection>> connections;
-    /// Being connected and not yet in `connections`, with what waits to be sent.
+    /// Links being connected, not yet in `connections`, with their queued messages.
     std::unordered_map<LinkId, std::vector<core::Message>> opening;
     std::vector<kj::Own<kj::ConnectionReceiver>> listeners;
     bool stopping = false;
     std::thread thread;
 
-    auto ask(Asked what) -> void;
+    auto post(Command what) -> void;
     auto runLoop() -> void;
-    auto sendRest(kj::WaitScope &scope) -> void;
+    auto drainConnections(kj::WaitScope &scope) -> void;
     auto nextTurn() -> kj::Promise<void>;
-    auto takeAsked() -> void;
+    auto runCommands() -> void;
     auto deliver(LinkId link, core::Message message) -> void;
     auto listenNow(const core::Address &address, core::Address &bound) -> std::error_code;
     auto acceptNext(kj::ConnectionReceiver &listener) -> kj::Promise<void>;
@@ -81,10 +82,10 @@
     auto taskFailed(kj::Exception && /*exception*/) -> void override { }
 };
 
-auto LinkLoop::State::ask(Asked what) -> void
+auto LinkLoop::State::post(Command what) -> void
 {
     const std::lock_guard lock(mutex);
-    asked.push_back(std::move(what));
+    commands.push_back(std::move(what));
     if (loopOfThisThread == this) {
         turn->fulfill();
         return;
@@ -95,15 +96,15 @@
     }
 }
 
-// Messages queued while the loop is busy are taken in one turn, so a turn's cost is shared by more
-// messages the busier the process is. What the loop's own thread asks needs no wake-up, which would
-// cost it two system calls.
+// Messages queued while the loop is busy are handled in one turn, so that under load the cost of a
+// turn is shared by more messages. Commands from the loop's own thread skip the cross-thread
+// wake-up, which would cost two system calls.
 auto LinkLoop::State::nextTurn() -> kj::Promise<void>
 {
     auto next = kj::newPromiseAndFulfiller<void>();
     turn = kj::mv(next.fulfiller);
     const std::lock_guard lock(mutex);
-    if (!asked.empty()) {
+    if (!commands.empty()) {
         turn->fulfill();
     } else if (wake == nullptr) {
         auto other = kj::newPromiseAndCrossThreadFulfiller<void>();
@@ -113,12 +114,12 @@
     return kj::mv(next.promise);
 }
 
-auto LinkLoop::State::takeAsked() -> void
+auto LinkLoop::State::runCommands() -> void
 {
-    std::vector<Asked> taken;
+    std::vector<Command> taken;
     {
         const std::lock_guard lock(mutex);
-        taken.swap(asked);
+        taken.swap(commands);
     }
     std::unordered_set<LinkId> touched;
     for (auto &what : taken) {
@@ -156,9 +157,9 @@
     tasks = kj::heap<kj::TaskSet>(*this);
     while (!stopping) {
         nextTurn().wait(context.waitScope);
-        takeAsked();
+        runCommands();
     }
-    sendRest(context.waitScope);
+    drainConnections(context.waitScope);
     tasks = nullptr;
     listeners.clear();
     connections.clear();
@@ -168,14 +169,14 @@
     wake = nullptr;
 }
 
-// A sidecar that leaves waits for a router's last acknowledgements, also when both are stopped.
-auto LinkLoop::State::sendRest(kj::WaitScope &scope) -> void
+// A draining sidecar waits for the router's last acknowledgements, even when both are stopping.
+auto LinkLoop::State::drainConnections(kj::WaitScope &scope) -> void
 {
     const auto isSending = [](const auto &entry) { return entry.second->isSending(); };
     auto &timer = io->provider->getTimer();
-    const auto until = timer.now() + sendsRestFor;
+    const auto until = timer.now() + drainTimeout;
     while (timer.now() < until && std::any_of(connections.begin(), connections.end(), isSending))
-        timer.afterDelay(sendsRestCheck).wait(scope);
+        timer.afterDelay(drainCheckInterval).wait(scope);
 }
 
 auto LinkLoop::State::listenNow(const core::Address &address, core::Address &bound)
@@ -201,10 +202,10 @@
             accepted(kj::mv(stream));
             return acceptNext(listener);
         },
-        // Out of file descriptors: giving up would leave a process that looks well and can never
-        // be reached again.
+        // Accepting fails when file descriptors run out. Without a retry the process would look
+        // healthy but never be reachable again.
         [this, &listener](kj::Exception && /*exception*/) {
-            return io->provider->getTimer().afterDelay(pauseAfterFailure).then([this, &listener] {
+            return io->provider->getTimer().afterDelay(acceptRetryDelay).then([this, &listener] {
                 return acceptNext(listener);
             });
         });
@@ -271,7 +272,7 @@
             hooks.onResponded(link);
     };
     reports.onBroken = [this, link] { broken(link); };
-    // Timers are due only after all sockets were looked at.
+    // Timers fire only after all sockets were polled.
     reports.after = [this](core::Duration time) {
         return io->provider->getTimer().afterDelay(time.count() * kj::MICROSECONDS);
     };
@@ -285,7 +286,7 @@
 auto LinkLoop::State::broken(LinkId link) -> void
 {
     const auto found = connections.find(link);
-    // A peer that connected and never asked for a link was never reported up.
+    // A peer that connected and never requested a link was not reported up.
     const auto unannounced = found != connections.end() && found->second->unannounced();
     if (remove(link) && !unannounced)
         hooks.onDown(link);
@@ -308,7 +309,7 @@
     remove(link);
 }
 
-// Destroyed one turn later: the caller may be a promise that belongs to the connection.
+// Destroys the connection one turn later: the caller may be a promise that belongs to it.
 auto LinkLoop::State::remove(LinkId link) -> bool
 {
     if (opening.erase(link) != 0)
@@ -340,7 +341,7 @@
 {
     if (!state_->thread.joinable())
         return;
-    state_->ask({0, std::nullopt, [state = state_.get()] { state->stopping = true; }});
+    state_->post({0, std::nullopt, [state = state_.get()] { state->stopping = true; }});
     state_->thread.join();
 }
 
@@ -348,40 +349,40 @@
 {
     std::promise<std::error_code> done;
     auto outcome = done.get_future();
-    state_->ask({0, std::nullopt, [&] { done.set_value(state_->listenNow(address, bound)); }});
+    state_->post({0, std::nullopt, [&] { done.set_value(state_->listenNow(address, bound)); }});
     return outcome.get();
 }
 
 auto LinkLoop::open(const core::Address &peer) -> LinkId
 {
     const auto link = state_->nextLink++;
-    state_->ask(
+    state_->post(
         {0, std::nullopt, [state = state_.get(), link, peer] { state->connect(link, peer); }});
     return link;
 }
 
 auto LinkLoop::send(LinkId link, core::Message message) -> void
 {
-    state_->ask({link, std::move(message), nullptr});
+    state_->post({link, std::move(message), nullptr});
 }
 
 auto LinkLoop::run(std::function<void(kj::AsyncIoContext &)> task) -> void
 {
-    state_->ask(
+    state_->post(
         {0, std::nullopt, [state = state_.get(), held = std::move(task)] { held(*state->io); }});
 }
 
 auto LinkLoop::every(core::Duration period, std::function<void()> task) -> void
 {
-    state_->ask({0, std::nullopt, [state = state_.get(), period, held = std::move(task)]() mutable {
-                     state->tasks->add(
-                         state->runEvery(period.count() * kj::MICROSECONDS, std::move(held)));
-                 }});
+    state_->post(
+        {0, std::nullopt, [state = state_.get(), period, held = std::move(task)]() mutable {
+             state->tasks->add(state->runEvery(period.count() * kj::MICROSECONDS, std::move(held)));
+         }});
 }
 
 auto LinkLoop::close(LinkId link) -> void
 {
-    state_->ask({0, std::nullopt, [state = state_.get(), link] { state->closeNow(link); }});
+    state_->post({0, std::nullopt, [state = state_.get(), link] { state->closeNow(link); }});
 }
 
 } // namespace applehatch::wire
--- a/src/wire/schema-read.cc
+++ b/src/wire/schema-read.cc
@@ -12,7 +12,7 @@
 constexpr int smallestStatus = 100;
 constexpr int largestStatus = 599;
 
-// Collects whether every value of one message was in range, so that readers stay one line each.
+// Records whether every value of a message was in range, so that each reader fits on one line.
 struct Check
 {
     bool good = true;
@@ -209,7 +209,7 @@
     return reply;
 }
 
-// The request messages that hold plain values only; none when `from` is another kind.
+// Reads request messages that consist of plain values; empty when `from` is of another kind.
 auto readPlain(schema::Message::Reader from, Check &check) -> std::optional<core::Message>
 {
     switch (from.which()) {
--- a/src/wire/schema-write.cc
+++ b/src/wire/schema-write.cc
@@ -19,7 +19,8 @@
     return {reinterpret_cast<const kj::byte *>(from.data()), from.size()};
 }
 
-// Ages go in whole milliseconds, rounded up: an entry must not grow younger by being passed on.
+// Ages are encoded in whole milliseconds, rounded up, so that forwarding never makes an entry
+// younger.
 auto wholeMilliseconds(core::Duration from) -> std::uint32_t
 {
     constexpr auto largest = std::numeric_limits<std::uint32_t>::max();
@@ -121,7 +122,7 @@
         to.setRetryAfterUs(from.retryAfter->count());
 }
 
-// One overload for each message: it names its member of the union and fills it.
+// One overload per message type: selects its member of the union and fills it.
 struct MessageWriter
 {
     schema::Message::Builder to;
--- a/test/clients/one-run.h
+++ b/test/clients/one-run.h
@@ -1,4 +1,4 @@
-/// One run at an upstream, seen to its end.
+/// Executes one run at an upstream until it ends.
 #pragma once
 
 #include "applehatch/clients/upstream-runs.h"
@@ -11,21 +11,21 @@
 
 namespace applehatch::clients {
 
-/// What happens while a run goes on; called on the thread that runs it.
+/// Callbacks during a run, called on the thread that executes it.
 struct CallHooks
 {
     std::function<void(int status, core::Headers headers, bool warm)> onHead;
     std::function<void(std::string data)> onData;
 };
 
-/// How a run ended; `how` when it did not end whole.
+/// The outcome of a run; `how` is set when the answer was incomplete.
 struct CallOutcome
 {
     bool whole = false;
     core::RunBreak how = core::RunBreak::Lost;
 };
 
-/// Carries out one run in the calling thread; ends it once `cancelled` is true.
+/// Executes one run in the calling thread; cancels it once `cancelled` is true.
 inline auto runOne(const core::Address &upstream, core::Duration silence,
                    const core::StartRun &start, const CallHooks &hooks,
                    const std::atomic<bool> &cancelled) -> CallOutcome
--- a/test/clients/settings-client-test.cc
+++ b/test/clients/settings-client-test.cc
@@ -26,7 +26,7 @@
     return "HTTP/1.1 200 OK\r\nConnection: close\r\n" + headers + "\r\n" + body;
 }
 
-/// A body with its right length.
+/// A complete response whose Content-Length is correct.
 auto whole(const std::string &headers, const std::string &body) -> std::string
 {
     return http(headers + "Content-Length: " + std::to_string(body.size()) + "\r\n", body);
@@ -77,9 +77,9 @@
     BOOST_TEST(platform.calls().settings == 1U);
 }
 
-// A quiet day: each watch ends without a change. Sent whole each time, the tree would be most of
-// what a reader spends on control; taken for an empty tree, the bare answer would remove every
-// team.
+// Guards against two faults when a watch ends without a change: sending the whole tree each time,
+// which would be most of a reader's control traffic, and taking the bodiless answer for an empty
+// tree, which would remove every team.
 BOOST_AUTO_TEST_CASE(a_watch_that_ends_without_a_change_brings_no_tree)
 {
     emulator::Platform platform;
@@ -96,7 +96,7 @@
     BOOST_TEST(platform.calls().settingsUnchanged == 1U);
 }
 
-// A host is replaced while its process holds a watch. Were the watch waited out, each stop would
+// Guards against a stop that waits for a pending watch: when a host is replaced, each stop would
 // take seconds longer, and a rollout over the fleet minutes.
 BOOST_AUTO_TEST_CASE(a_watch_under_way_ends_when_its_reader_stops)
 {
@@ -130,9 +130,9 @@
     BOOST_TEST(read.index == older);
 }
 
-// The configuration service and the host list are others' programs: behind a broken proxy, or in
-// the middle of a restart, they answer with anything at all. Taken at its word, half an answer
-// would remove teams, and a crash here would stop the process; the user would find no router.
+// Guards against malformed answers from the configuration service and the host list, which are
+// external programs: behind a broken proxy or during a restart they may answer anything. Accepting
+// half an answer would remove teams, and a crash would leave users without a router.
 BOOST_AUTO_TEST_CASE(a_broken_answer_is_an_error_and_changes_nothing)
 {
     struct Row
@@ -200,8 +200,8 @@
     }
 }
 
-// A key that stands below a team, or a folder's own key, is no team. Refusing the whole answer for
-// it would let one stray key stop every team's changes.
+// Guards against one stray key blocking every team's changes: a key below a team, or a folder's own
+// key, is no team and must not make the whole answer invalid.
 BOOST_AUTO_TEST_CASE(keys_that_are_no_team_are_passed_over)
 {
     emulator::Platform platform;
@@ -216,8 +216,8 @@
     BOOST_TEST(*read.texts[0].text == "{}");
 }
 
-// Every process reads the list every few seconds, and it changes a few hundred times a day. Sent
-// whole each time it would be the largest part of all control traffic.
+// Guards against resending an unchanged list: every process reads the list every few seconds, and
+// it changes a few hundred times a day. It would be the largest part of all control traffic.
 BOOST_AUTO_TEST_CASE(an_unchanged_host_list_is_not_sent_again)
 {
     emulator::Platform platform;
@@ -236,9 +236,9 @@
     BOOST_TEST((list.hosts == std::vector{core::Host{"127.0.0.9", core::HostState::Leaving}}));
 }
 
-// The platform is set up anew, counts from 1 again and stands at the version that a process holds,
-// with other hosts. Asked by version it answers "unchanged"; only a process that forgets its
-// version hears that a host left, and others go on sending it work.
+// Guards against a stale list after the platform is set up anew: it counts from 1 again and reaches
+// the version that a process has, with other hosts, so a conditional read answers "unchanged". Only
+// a process that discards its version learns that a host left; others keep sending it work.
 BOOST_AUTO_TEST_CASE(a_list_without_a_version_is_read_whole)
 {
     emulator::Platform before;
@@ -257,8 +257,8 @@
     BOOST_TEST((list.hosts == std::vector{core::Host{"127.0.0.9", core::HostState::Leaving}}));
 }
 
-// While the service restarts, connections are refused, closed at once, or accepted and left
-// silent. A read without an end would hold its thread for good and changes would no longer arrive.
+// Guards against a read that never returns: while the service restarts, connections are refused,
+// closed at once, or accepted and left silent. The thread would hang and receive no more changes.
 BOOST_AUTO_TEST_CASE(a_service_that_is_down_or_silent_is_reported_in_time)
 {
     auto platform = std::make_unique<emulator::Platform>();
@@ -278,8 +278,9 @@
     BOOST_TEST(client.read(5s, list) == std::make_error_code(std::errc::connection_refused));
 }
 
-// A firewall forgets the connection in the middle of an answer: no byte follows and no end. The
-// thread that reads would wait for good, and the process would never hear of a change again.
+// Guards against a firewall that drops the connection state in the middle of an answer, so that
+// neither more bytes nor an end arrive. The reading thread would wait forever, and the process
+// would never receive another change.
 BOOST_AUTO_TEST_CASE(an_answer_that_falls_silent_half_way_is_given_up_in_time)
 {
     emulator::Platform platform;
--- a/test/clients/upstream-client-test.cc
+++ b/test/clients/upstream-client-test.cc
@@ -21,7 +21,7 @@
 constexpr auto ip = "127.0.41.1";
 constexpr auto silence = 300ms;
 
-/// What one call gave.
+/// The result of one call.
 struct Result
 {
     int status = 0;
@@ -88,15 +88,16 @@
 enum class After {
     Close,
     Reset,
-    Wait, ///< Keeps the connection open without a byte.
+    Wait, ///< Keeps the connection open without sending a byte.
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(upstream_client)
 
-// An upstream can break off at any byte, and a broken connection can look like an orderly close.
-// The caller would be given half an answer as a whole one, or be told "not run" of a call that ran.
+// Guards against wrong outcomes when an upstream breaks the connection, which can happen at any
+// byte and can look like an orderly close. The caller would get half an answer as a complete one,
+// or "not run" for a call that ran.
 BOOST_AUTO_TEST_CASE(broken_answers_are_told_apart)
 {
     struct Row
@@ -167,8 +168,8 @@
     }
 }
 
-// A call is told "not run" only when nothing of it can have arrived: no connection was made, or
-// the call cannot be written as HTTP without changing its meaning.
+// Guards against a false "not run". It is reported only when nothing of the call can have arrived:
+// no connection was made, or the call cannot be written as HTTP without changing its meaning.
 BOOST_AUTO_TEST_CASE(calls_that_were_never_sent)
 {
     const experiment::RawServer upstream(
@@ -209,8 +210,8 @@
     BOOST_TEST(upstream.accepted() == 0U);
 }
 
-// A caller that leaves must not hold an engine's slot. Its sidecar sets the flag from another
-// thread while this one waits for bytes that may never come.
+// Guards against a disconnected caller occupying an engine's slot. The sidecar sets the flag from
+// another thread while this one waits for bytes that may never arrive.
 BOOST_AUTO_TEST_CASE(cancelling_ends_a_call_within_a_tenth_of_a_second)
 {
     for (const auto &answer : {std::string(), eventHead + chunk(event)}) {
--- a/test/clients/upstream-runs-test.cc
+++ b/test/clients/upstream-runs-test.cc
@@ -40,7 +40,7 @@
     return start;
 }
 
-/// Runs the loop until `condition` holds; false when it never did.
+/// Runs the loop until `condition` holds; false when it does not hold in time.
 template <typename Condition>
 auto runUntil(kj::AsyncIoContext &io, Condition condition) -> bool
 {
@@ -54,7 +54,7 @@
 
 BOOST_AUTO_TEST_SUITE(upstream_runs)
 
-// Guards against a sidecar that stays behind because each waiting token costs it a report.
+// Guards against a sidecar that cannot catch up because each pending token costs it a report.
 BOOST_AUTO_TEST_CASE(events_that_lie_ready_are_reported_as_few)
 {
     constexpr auto events = 1000;
@@ -80,7 +80,7 @@
     BOOST_TEST(reports < events / 10U);
 }
 
-// Guards against an answer that always has more to read keeping new streams from their first event.
+// Guards against a continuously readable answer keeping new streams from their first event.
 BOOST_AUTO_TEST_CASE(an_answer_that_always_has_more_does_not_hold_up_the_others)
 {
     std::string block;
@@ -111,7 +111,7 @@
     over = true;
 }
 
-// Guards against engines blamed for a silence in which their sidecar did not listen.
+// Guards against blaming an engine for silence while its sidecar was stalled and did not read.
 BOOST_AUTO_TEST_CASE(an_own_hold_up_makes_no_run_silent)
 {
     const experiment::RawServer upstream(ip, [&](experiment::Socket &socket) {
--- a/test/wire/codec-test.cc
+++ b/test/wire/codec-test.cc
@@ -37,8 +37,8 @@
     BOOST_TEST((read->entries[0].age == std::chrono::milliseconds(2)));
 }
 
-// Anyone who reaches the port can send anything, and a peer of another version may send values
-// this one does not know. A process that crashed or believed them would lose its callers' requests.
+// Guards against crashing on, or accepting, arbitrary bytes from anyone who reaches the port, or
+// unknown values from a peer of another version. Either would lose the callers' requests.
 BOOST_AUTO_TEST_CASE(garbage_is_refused)
 {
     core::Digest digest;
@@ -89,7 +89,8 @@
         BOOST_TEST(!decodeMessage(messages[row]), "message row " << row);
 }
 
-// A byte is flipped on the way. Whatever comes out is a message or nothing, never a crash.
+// Guards against a crash when bytes are corrupted in transit: the decoder returns a message or
+// nothing.
 BOOST_AUTO_TEST_CASE(flipped_and_cut_bytes_never_crash)
 {
     BOOST_TEST(rc::check("flips", [](const core::Message &message, const core::Digest &digest) {
--- a/test/wire/datagram-test.cc
+++ b/test/wire/datagram-test.cc
@@ -50,8 +50,8 @@
 
 BOOST_AUTO_TEST_SUITE(datagrams)
 
-// Anyone can send to the port, and a digest can outgrow a datagram. Neither may stop the exchange
-// of load, or every router would place requests by what it knew before.
+// Guards against malformed datagrams, which anyone can send, or a digest larger than a datagram
+// stopping the exchange of load: every router would then place requests by outdated load.
 BOOST_AUTO_TEST_CASE(digests_arrive_with_their_sender_past_garbage_and_oversize)
 {
     Received near;
--- a/test/wire/link-loop-test.cc
+++ b/test/wire/link-loop-test.cc
@@ -14,10 +14,10 @@
 
 namespace {
 
-// Far beyond what a busy machine needs; reached only when the awaited thing never happens.
+// Far longer than a busy host needs; reached only when the awaited condition never holds.
 constexpr auto patience = std::chrono::seconds(20);
 
-// What one loop's hooks reported, with a wait for conditions on it.
+// Records the hooks' calls of one loop and waits for conditions on them.
 class Recorder
 {
 public:
@@ -34,7 +34,7 @@
     }
 
     /// Records each message and then waits for `pause`.
-    auto hooksHeldUpBy(std::mutex &pause) -> LinkHooks
+    auto hooksBlockedBy(std::mutex &pause) -> LinkHooks
     {
         auto held = hooks();
         held.onMessage = [&pause, record = held.onMessage](LinkId link, core::Message message) {
@@ -139,7 +139,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(the_other_side_of_a_closed_link_is_told)
+BOOST_AUTO_TEST_CASE(the_other_side_of_a_closed_link_is_notified)
 {
     Recorder near;
     Recorder far;
@@ -153,8 +153,8 @@
     BOOST_TEST(near.down.empty());
 }
 
-// A sidecar's host is gone or its process not yet started, so nothing accepts the connection. The
-// router has to hear of it at once, or the caller would wait for an answer nobody makes.
+// Guards against a caller waiting for an answer that never comes: when a sidecar's host is down or
+// its process not yet started, the router must learn at once that nothing accepts the connection.
 BOOST_AUTO_TEST_CASE(a_refused_or_unreadable_address_is_reported_down)
 {
     core::Address closed;
@@ -171,8 +171,8 @@
     BOOST_TEST(near.up.empty());
 }
 
-// Something between two hosts lost track of the connection, or the peer is paused: the connect
-// succeeds in the kernel and no byte ever comes back. Callers would hang on the opening link.
+// Guards against callers hanging on an opening link: when a middlebox loses the connection or the
+// peer is paused, the connect succeeds in the kernel and no byte ever comes back.
 BOOST_AUTO_TEST_CASE(a_peer_that_accepts_and_stays_silent_is_reported_down)
 {
     const SilentListener listener;
@@ -185,8 +185,8 @@
     BOOST_TEST(near.down == std::vector<LinkId>{link});
 }
 
-// A peer is paused while answers for it go on arriving. The queue for it would grow until the
-// process is killed and every other caller's request lost; the link is closed at its cap instead.
+// Guards against unbounded queueing for a paused peer while answers for it keep arriving: the
+// process would be killed and every other caller's request lost. The link closes at its limit.
 BOOST_AUTO_TEST_CASE(a_peer_that_stops_reading_loses_its_link_at_the_cap)
 {
     std::mutex pause;
@@ -203,18 +203,18 @@
 
     const std::unique_lock paused(pause);
     const std::string data(64U << 10U, 'x');
-    constexpr int overTheCap = 1000; // 64 MB: the cap, the outstanding batches and both kernels.
-    for (int i = 0; i < overTheCap; ++i)
+    constexpr int overTheLimit = 1000; // 64 MB: the limit, unanswered batches, both kernels.
+    for (int i = 0; i < overTheLimit; ++i)
         client.send(link, core::Chunk{"request", 0, data});
     BOOST_REQUIRE(near.waitFor([&] { return !near.down.empty(); }));
     BOOST_TEST(near.down == std::vector<LinkId>{link});
 }
 
-// Guards against one sidecar's stream of chunks keeping a slow router from hearing the others.
+// Guards against one sidecar's stream of chunks keeping a slow router from reading the others.
 BOOST_AUTO_TEST_CASE(a_link_that_always_has_more_does_not_hold_up_the_others)
 {
     constexpr auto perMessage = std::chrono::milliseconds(1);
-    constexpr auto silence = std::chrono::seconds(4); // Then a sidecar closes a link.
+    constexpr auto silence = std::chrono::seconds(4); // A sidecar closes a link after this.
     constexpr std::uint64_t count = 20000;
     Recorder near;
     Recorder far;
@@ -243,14 +243,14 @@
     BOOST_TEST(taken < static_cast<std::size_t>(silence / perMessage));
 }
 
-// Guards against a peer that is behind falling further behind, one message for each token.
+// Guards against a slow peer falling further behind because it gets one message per token.
 BOOST_AUTO_TEST_CASE(chunks_that_wait_for_a_slow_peer_reach_it_as_few)
 {
     constexpr std::size_t count = 5000;
     std::mutex pause;
     Recorder near;
     Recorder far;
-    LinkLoop server(far.hooksHeldUpBy(pause), {});
+    LinkLoop server(far.hooksBlockedBy(pause), {});
     LinkLoop client(near.hooks(), {});
     const auto link = client.open(listenOn(server));
     BOOST_REQUIRE(near.waitFor([&] { return !near.up.empty(); }));
@@ -280,7 +280,7 @@
     BOOST_TEST(far.messages.size() < count / 10);
 }
 
-// Guards against an envelope for each token, which costs both sides more than the token.
+// Guards against one RPC envelope per token, which costs both sides more than the token.
 BOOST_AUTO_TEST_CASE(tokens_of_many_streams_travel_in_few_batches)
 {
     constexpr std::size_t count = 2000;
@@ -313,7 +313,7 @@
     BOOST_TEST(batches <= static_cast<std::size_t>(took / apart) + slack);
 }
 
-// Guards against a link that is closed as over its cap after it has merged chunks for a while.
+// Guards against miscounted merged chunks, which would close a link as over its limit.
 BOOST_AUTO_TEST_CASE(merged_chunks_are_no_longer_counted_once_they_are_sent)
 {
     constexpr std::size_t rounds = 200;
@@ -340,7 +340,8 @@
     }
 }
 
-// Guards against a stop of a router and a sidecar at once that waits for a word never sent.
+// Guards against a lost last message when a router and a sidecar stop at the same time, which
+// would leave the other side waiting.
 BOOST_AUTO_TEST_CASE(what_was_sent_before_a_stop_arrives)
 {
     constexpr std::uint64_t count = 1000;
@@ -357,14 +358,15 @@
     BOOST_TEST(far.messages.size() == count);
 }
 
-// The peer's process is frozen. Its kernel still takes bytes, so only the process's own response
-// tells the two apart; without it an engine would go on for a router that passes nothing on.
+// Guards against an engine generating for a router whose process is frozen and forwards nothing.
+// The kernel of that host still accepts bytes, so only a response of the process shows that it
+// runs.
 BOOST_AUTO_TEST_CASE(only_a_process_that_takes_messages_responds)
 {
     std::mutex pause;
     Recorder near;
     Recorder far;
-    LinkLoop server(far.hooksHeldUpBy(pause), {});
+    LinkLoop server(far.hooksBlockedBy(pause), {});
     LinkLimits limits;
     limits.respondedPeriod = core::Duration(0);
     LinkLoop client(near.hooks(), {}, limits);
--- a/test/wire/message-generators.h
+++ b/test/wire/message-generators.h
@@ -8,7 +8,7 @@
 
 namespace applehatch::wire {
 
-/// Everything a message holds, field by field, for comparison.
+/// Lists all fields of a message for comparison.
 inline auto describe(const core::Message &message) -> std::string;
 
 namespace detail {
