--- a/include/applehatch/clients/upstream-runs.h
+++ b/include/applehatch/clients/upstream-runs.h
@@ -59,7 +59,7 @@
     auto reportAll() -> void;
     auto reportData(Run &run) -> void;
     /// Ends a run whose body ended or whose connection broke.
-    auto end(Run &run, bool whole) -> void;
+    auto end(Run &run, bool complete) -> void;
     auto finish(Run &run, core::SidecarEvent outcome) -> void;
     auto scheduleSilenceCheck() -> kj::Promise<void>;
     auto checkSilence() -> void;
--- a/src/clients/settings-client.cc
+++ b/src/clients/settings-client.cc
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t mostAnswerBytes = 64U << 20U;
+constexpr std::size_t maxAnswerBytes = 64U << 20U;
 constexpr core::Duration readTimeout = std::chrono::seconds(10);
 constexpr std::string_view teamPrefix = "teams/";
 /// A watch that is not answered this long after its wait counts as lost. A middlebox may lose the
@@ -98,7 +98,7 @@
     request.server = service;
     request.path = "/v1/kv/teams/?recurse=true";
     request.timeout = readTimeout;
-    request.maxBodyBytes = mostAnswerBytes;
+    request.maxBodyBytes = maxAnswerBytes;
     if (waitFor) {
         const auto seconds = std::chrono::ceil<std::chrono::seconds>(wait).count();
         request.path += "&index=" + std::to_string(*waitFor);
--- a/src/clients/upstream-runs.cc
+++ b/src/clients/upstream-runs.cc
@@ -247,9 +247,9 @@
     }
 }
 
-auto UpstreamRuns::end(Run &run, bool whole) -> void
+auto UpstreamRuns::end(Run &run, bool complete) -> void
 {
-    if (whole) {
+    if (complete) {
         finish(run, core::RunEnd{run.start.run});
     } else {
         finish(run, core::RunBroken{run.start.run, breakReason(run.exchange.stage())});
--- a/src/wire/connection.h
+++ b/src/wire/connection.h
@@ -42,7 +42,7 @@
     [[nodiscard]] auto up() const -> bool { return up_; }
 
     /// True when the peer connected and has not requested a link yet.
-    [[nodiscard]] auto unannounced() const -> bool { return accepted_ && !up_; }
+    [[nodiscard]] auto awaitsLinkRequest() const -> bool { return accepted_ && !up_; }
 
     /// Queues a message. `flush` sends the queue, delaying answer chunks briefly so that later
     /// chunks share their batch.
--- a/src/wire/link-loop.cc
+++ b/src/wire/link-loop.cc
@@ -287,17 +287,17 @@
 {
     const auto found = connections.find(link);
     // A peer that connected and never requested a link was not reported up.
-    const auto unannounced = found != connections.end() && found->second->unannounced();
-    if (remove(link) && !unannounced)
+    const auto awaitsLinkRequest = found != connections.end() && found->second->awaitsLinkRequest();
+    if (remove(link) && !awaitsLinkRequest)
         hooks.onDown(link);
 }
 
 auto LinkLoop::State::runEvery(kj::Duration period, std::function<void()> task) -> kj::Promise<void>
 {
     return io->provider->getTimer().afterDelay(period).then(
-        [this, period, held = std::move(task)]() mutable {
-            held();
-            return runEvery(period, std::move(held));
+        [this, period, callback = std::move(task)]() mutable {
+            callback();
+            return runEvery(period, std::move(callback));
         });
 }
 
@@ -368,15 +368,16 @@
 
 auto LinkLoop::run(std::function<void(kj::AsyncIoContext &)> task) -> void
 {
-    state_->post(
-        {0, std::nullopt, [state = state_.get(), held = std::move(task)] { held(*state->io); }});
+    state_->post({0, std::nullopt,
+                  [state = state_.get(), callback = std::move(task)] { callback(*state->io); }});
 }
 
 auto LinkLoop::every(core::Duration period, std::function<void()> task) -> void
 {
     state_->post(
-        {0, std::nullopt, [state = state_.get(), period, held = std::move(task)]() mutable {
-             state->tasks->add(state->runEvery(period.count() * kj::MICROSECONDS, std::move(held)));
+        {0, std::nullopt, [state = state_.get(), period, callback = std::move(task)]() mutable {
+             state->tasks->add(
+                 state->runEvery(period.count() * kj::MICROSECONDS, std::move(callback)));
          }});
 }
 
--- a/test/wire/link-loop-test.cc
+++ b/test/wire/link-loop-test.cc
@@ -36,12 +36,13 @@
     /// Records each message and then waits for `pause`.
     auto hooksBlockedBy(std::mutex &pause) -> LinkHooks
     {
-        auto held = hooks();
-        held.onMessage = [&pause, record = held.onMessage](LinkId link, core::Message message) {
+        auto blocking = hooks();
+        blocking.onMessage = [&pause, record = blocking.onMessage](LinkId link,
+                                                                   core::Message message) {
             record(link, std::move(message));
             const std::lock_guard wait(pause);
         };
-        return held;
+        return blocking;
     }
 
     template <typename Condition>
@@ -270,11 +271,11 @@
         far.waitFor([&] { return std::holds_alternative<core::End>(far.messages.back().second); }));
     std::string taken;
     for (const auto &[from, message] : far.messages) {
-        const auto *held = std::get_if<core::Chunk>(&message);
-        if (held == nullptr)
+        const auto *chunk = std::get_if<core::Chunk>(&message);
+        if (chunk == nullptr)
             continue;
-        BOOST_REQUIRE_EQUAL(held->offset, taken.size());
-        taken += held->data;
+        BOOST_REQUIRE_EQUAL(chunk->offset, taken.size());
+        taken += chunk->data;
     }
     BOOST_TEST(taken == whole);
     BOOST_TEST(far.messages.size() < count / 10);
