--- a/include/applehatch/core/chat-pointers.h
+++ b/include/applehatch/core/chat-pointers.h
@@ -17,19 +17,19 @@
     explicit ChatPointers(std::size_t capacity);
 
     /// Records that the newest turn of `chat` ran at `holder`, another upstream.
-    auto moved(ChatKey chat, UpstreamId holder, Instant now) -> void;
+    auto markMoved(ChatKey chat, UpstreamId holder, Instant now) -> void;
 
     /// Records that the newest turn of `chat` ran at this upstream.
-    auto ran(ChatKey chat, Instant now) -> void;
+    auto markRun(ChatKey chat, Instant now) -> void;
 
     /// Records that the engine stored the context of `chat`.
-    auto stored(ChatKey chat, Instant now) -> void;
+    auto markStored(ChatKey chat, Instant now) -> void;
 
     /// Records that the engine dropped the context of `chat`.
-    auto evicted(ChatKey chat) -> void;
+    auto markEvicted(ChatKey chat) -> void;
 
     /// Records that the engine restarted with an empty cache.
-    auto evictedAll() -> void;
+    auto markAllEvicted() -> void;
 
     [[nodiscard]] auto isWarm(ChatKey chat, Instant now) const -> bool;
 
@@ -37,7 +37,7 @@
     [[nodiscard]] auto holder(ChatKey chat, Instant now) const -> UpstreamId;
 
     /// Up to `count` chats with a context at this upstream, most recently used first.
-    [[nodiscard]] auto hottest(std::size_t count) const -> std::vector<ChatKey>;
+    [[nodiscard]] auto mostRecentlyUsed(std::size_t count) const -> std::vector<ChatKey>;
 
     /// Checks about `maxChats` entries of each of the two tables and drops the expired ones. The
     /// next call continues where this one stopped.
--- a/include/applehatch/core/crash-book.h
+++ b/include/applehatch/core/crash-tracker.h
@@ -17,13 +17,13 @@
 /// A notice with no remaining lifetime withdraws the notice with the same incarnation and sequence
 /// number. Without that a harmless request that was running during a crash and then finished at
 /// another upstream would stay a suspect.
-class CrashBook
+class CrashTracker
 {
 public:
     /// How long a notice is kept after the crash.
     static constexpr Duration lifetime = std::chrono::minutes(10);
 
-    explicit CrashBook(std::size_t capacity);
+    explicit CrashTracker(std::size_t capacity);
 
     /// Applies a notice from this or another process. Returns true when it changed the table.
     auto apply(const CrashNotice &notice, Instant now) -> bool;
@@ -42,7 +42,8 @@
         -> std::vector<UpstreamId>;
 
     /// The time of the last crash counted by `crashes`, on this process's clock; none without one.
-    [[nodiscard]] auto lastAt(Fingerprint fingerprint, Instant now) const -> std::optional<Instant>;
+    [[nodiscard]] auto lastCrashAt(Fingerprint fingerprint, Instant now) const
+        -> std::optional<Instant>;
 
     /// Up to `count` notices for a digest, the most recently changed first.
     [[nodiscard]] auto notices(std::size_t count, Instant now) const -> std::vector<CrashNotice>;
--- a/include/applehatch/core/digest.h
+++ b/include/applehatch/core/digest.h
@@ -33,7 +33,7 @@
 struct CrashNotice
 {
     Fingerprint fingerprint = 0;
-    UpstreamLife life;          ///< Where the crash happened; one incarnation counts once.
+    UpstreamIncarnation origin; ///< Where the crash happened; one incarnation counts once.
     std::uint32_t sequence = 0; ///< Number of the crash within that incarnation.
     Duration remaining{0};      ///< Time until the notice expires.
 
--- a/include/applehatch/core/gossip.h
+++ b/include/applehatch/core/gossip.h
@@ -1,7 +1,7 @@
 /// The contents of digests, and the load sums of other data centres.
 #pragma once
 
-#include "applehatch/core/crash-book.h"
+#include "applehatch/core/crash-tracker.h"
 #include "applehatch/core/load-table.h"
 
 #include <cstddef>
@@ -41,9 +41,9 @@
 };
 
 /// The recipient of a digest.
-struct DigestReader
+struct DigestRecipient
 {
-    bool isNear = true;             ///< Others get only sums of large pools.
+    bool isSameDataCenter = true;   ///< Others get only sums of large pools.
     std::size_t maxEntries = 1000;  ///< The datagram holds fewer than the default.
     std::vector<DigestEntry> known; ///< Entries in its request; only newer ones are returned.
 };
@@ -58,8 +58,8 @@
 
 /// Composes a digest with entries of the view's pool: the sender's own first, then newest first.
 [[nodiscard]] auto composeDigest(const GossipView &view, const LoadTable &loads,
-                                 const PoolSums &sums, const CrashBook &crashes,
-                                 const DigestReader &reader, Instant now) -> Digest;
+                                 const PoolSums &sums, const CrashTracker &crashes,
+                                 const DigestRecipient &reader, Instant now) -> Digest;
 
 /// Returns the pool's load from the entries of its members, plus the sums of data centres that have
 /// no entry.
--- a/include/applehatch/core/identity.h
+++ b/include/applehatch/core/identity.h
@@ -31,12 +31,12 @@
 using ChatKey = std::uint64_t;
 
 /// One incarnation of a sidecar, as identified by context tokens and run-once tickets.
-struct UpstreamLife
+struct UpstreamIncarnation
 {
     UpstreamId upstream = 0;
     Incarnation incarnation = 0;
 
-    auto operator==(const UpstreamLife &) const -> bool = default;
+    auto operator==(const UpstreamIncarnation &) const -> bool = default;
 };
 
 /// 64-bit hash of `bytes`, stable across processes and versions (XXH3).
--- a/include/applehatch/core/load-table.h
+++ b/include/applehatch/core/load-table.h
@@ -53,12 +53,14 @@
     [[nodiscard]] auto poolLoad(const Pool &pool, Instant now) const -> PoolLoad;
 
     /// Up to `count` entries with the smallest age, newest first.
-    [[nodiscard]] auto freshest(std::size_t count, Instant now) const -> std::vector<DigestEntry>;
+    [[nodiscard]] auto newestEntries(std::size_t count, Instant now) const
+        -> std::vector<DigestEntry>;
 
     /// Up to `count` entries of the members of `pool`, newest first, without those for which
     /// `known` already has an entry as new.
-    [[nodiscard]] auto freshestOf(const Pool &pool, const std::vector<DigestEntry> &known,
-                                  std::size_t count, Instant now) const -> std::vector<DigestEntry>;
+    [[nodiscard]] auto newestEntriesOf(const Pool &pool, const std::vector<DigestEntry> &known,
+                                       std::size_t count, Instant now) const
+        -> std::vector<DigestEntry>;
 
     /// Drops expired entries.
     auto expire(Instant now) -> void;
--- a/include/applehatch/core/message.h
+++ b/include/applehatch/core/message.h
@@ -150,7 +150,8 @@
 /// Requests settings subtrees from a peer that are newer than those of the sender.
 struct SettingsPull
 {
-    std::map<std::string, SettingsIndex> held; ///< Index in force by team; empty if `brief`.
+    std::map<std::string, SettingsIndex>
+        knownIndices;        ///< Index in force by team; empty if `brief`.
     bool brief = false;      ///< `since` and `hash` are sent instead of `knownIndices`.
     SettingsIndex since = 0; ///< The sender was offered every text up to this index.
     std::uint64_t hash = 0;  ///< Hash of all teams and their indices, independent of order.
--- a/include/applehatch/core/order-plan.h
+++ b/include/applehatch/core/order-plan.h
@@ -61,11 +61,11 @@
 /// it; otherwise all members that wait for a free place would take it at once.
 struct RolloutView
 {
-    std::uint32_t out = 0; ///< Members not serving, as far as known.
-    std::uint32_t width = 1;
-    std::uint32_t rank = 0; ///< Position among the configured members, by id.
-    Duration quiet{0};      ///< How long `unavailable` has been below `maxUnavailable`.
-    Duration step{0};       ///< Per rank; longer than a state change takes to reach the pool.
+    std::uint32_t unavailable = 0; ///< Members not serving, as far as known.
+    std::uint32_t maxUnavailable = 1;
+    std::uint32_t rank = 0;    ///< Position among the configured members, by id.
+    Duration belowLimitFor{0}; ///< How long `unavailable` has been below `maxUnavailable`.
+    Duration delayPerRank{0};  ///< Per rank; longer than a state change takes to reach the pool.
 };
 
 /// Whether the member may begin its change now.
--- a/include/applehatch/core/placement.h
+++ b/include/applehatch/core/placement.h
@@ -8,7 +8,7 @@
 namespace applehatch::core {
 
 /// Maximum number of candidates that the default placement ranks; no request tries more.
-inline constexpr std::size_t placementDepth = 16;
+inline constexpr std::size_t maxPlacementCandidates = 16;
 
 /// Default placement: the upstream that the context token names, then weighted rendezvous hashing
 /// of the chat; without a chat the less loaded of two random members. Members of the own data
@@ -36,11 +36,11 @@
 
 /// True when a recent report shows a member so far over its load bound that it would refuse a
 /// request.
-[[nodiscard]] auto isClearlyOver(const PlacementView &view, UpstreamId id) -> bool;
+[[nodiscard]] auto isWellOverBound(const PlacementView &view, UpstreamId id) -> bool;
 
 /// The owner of `chat` by rendezvous hashing over the configured members, live or not; 0 for an
 /// empty pool.
-[[nodiscard]] auto chatHome(const Pool &pool, ChatKey chat, std::string_view ownDataCenter)
+[[nodiscard]] auto chatOwner(const Pool &pool, ChatKey chat, std::string_view ownDataCenter)
     -> UpstreamId;
 
 /// The first `count` of the configured members in weighted rendezvous order of `key`: the same in
--- a/include/applehatch/core/router-node.h
+++ b/include/applehatch/core/router-node.h
@@ -52,7 +52,7 @@
 };
 
 /// The caller's connection closed before its answer was complete.
-struct CallerGone
+struct CallerDisconnected
 {
     RequestId request;
 };
@@ -101,7 +101,7 @@
 { };
 
 using RouterEvent = std::variant<CallerRequest, CallerResume, TicketRequest, CallerConsumed,
-                                 CallerGone, LinkUp, LinkDown, FromSidecar, DigestReceived,
+                                 CallerDisconnected, LinkUp, LinkDown, FromSidecar, DigestReceived,
                                  SettingsInForce, HostListRead, Tick, DrainRequested>;
 
 /// Send `message`. The host opens the connection when there is none, and reports `LinkUp` or
@@ -258,7 +258,7 @@
     [[nodiscard]] auto loads() const -> const LoadTable &;
     [[nodiscard]] auto settings() const -> SettingsPtr;
     /// Whether a running request, or an answer just sent, depends on the link to `upstream`.
-    [[nodiscard]] auto uses(UpstreamId upstream) const -> bool;
+    [[nodiscard]] auto dependsOn(UpstreamId upstream) const -> bool;
 
 private:
     struct State;
--- a/include/applehatch/core/settings-replica.h
+++ b/include/applehatch/core/settings-replica.h
@@ -28,7 +28,7 @@
 { };
 
 /// A digest or a peer advertised `index`.
-struct SettingsIndexHeard
+struct SettingsIndexAdvertised
 {
     SettingsIndex index = 0;
     UpstreamId from = 0; ///< The sidecar that has the index, if known; queried first.
@@ -38,7 +38,7 @@
 { };
 
 using SettingsEvent = std::variant<SettingsRead, SettingsReadFailed, SettingsReply, SettingsPull,
-                                   SettingsIndexHeard, HostListRead, SettingsTick>;
+                                   SettingsIndexAdvertised, HostListRead, SettingsTick>;
 
 /// Read the whole tree. With `waitFor` this is a watch, which returns once the tree's index exceeds
 /// `waitFor`.
--- a/include/applehatch/core/sidecar-node.h
+++ b/include/applehatch/core/sidecar-node.h
@@ -195,20 +195,21 @@
 /// Limits of one sidecar; all apply at the same time.
 struct SidecarLimits
 {
-    std::size_t answerBytes = 64U << 20U;    ///< Bytes of all answers stored for resuming.
-    std::size_t answerBytesEach = 4U << 20U; ///< Unacknowledged bytes of one answer.
-    std::size_t keys = 200000;               ///< Entries of the table of idempotency keys.
-    std::size_t pointers = 100000;           ///< Entries of the table of moved chats.
+    std::size_t answerBytes = 64U << 20U; ///< Bytes of all answers stored for resuming.
+    std::size_t unacknowledgedBytesPerAnswer = 4U << 20U; ///< Unacknowledged bytes of one answer.
+    std::size_t keys = 200000;     ///< Entries of the table of idempotency keys.
+    std::size_t pointers = 100000; ///< Entries of the table of moved chats.
     std::size_t tombstones =
         100000; ///< Entries of each table of ended attempts or started requests.
     Duration answerLifetime =
         std::chrono::seconds(60); ///< After the answer ends, if not acknowledged.
-    Duration digestPeriod = std::chrono::seconds(1);
+    Duration digestInterval = std::chrono::seconds(1);
     std::size_t digestBytes = 1000;                    ///< Maximum size of a digest datagram.
     std::size_t unsolicitedEntries = 10;               ///< Entries of an unsolicited digest.
     std::size_t replyBytesPerSecond = 1500;            ///< Budget for digests sent in reply.
     Duration clockInterval = std::chrono::seconds(60); ///< Between heartbeats on a link in use.
-    Duration silence = std::chrono::seconds(4); ///< Without a sign of its router, a link is closed.
+    Duration linkTimeout =
+        std::chrono::seconds(4); ///< Without a sign of its router, a link is closed.
     Duration unreadTimeout =
         std::chrono::seconds(15);         ///< A request that no link reads is cancelled after this.
     std::size_t recordBytes = 32U << 20U; ///< Bytes of recorded answers of idempotency keys.
--- a/include/applehatch/core/listening-clock.h
+++ b/include/applehatch/core/stall-aware-clock.h
@@ -13,14 +13,14 @@
 ///
 /// Messages that arrive during a stall are unread when it ends. With an ordinary clock all peers
 /// would time out together, and a short stall would cause a burst of new connections.
-class ListeningClock
+class StallAwareClock
 {
 public:
     /// Maximum advance between two calls of `recordPoll`.
-    static constexpr Duration longestStep = std::chrono::milliseconds(200);
+    static constexpr Duration maxStep = std::chrono::milliseconds(200);
 
     /// Records that everything received by `now` has been read.
-    auto look(Instant now) -> void
+    auto recordPoll(Instant now) -> void
     {
         reading_ = at(now);
         polledAt_ = now;
@@ -33,7 +33,7 @@
             polledAt_ = now;
             reading_ = now;
         }
-        return reading_ + std::clamp(Duration(now - *polledAt_), Duration(0), longestStep);
+        return reading_ + std::clamp(Duration(now - *polledAt_), Duration(0), maxStep);
     }
 
 private:
--- a/include/applehatch/core/token.h
+++ b/include/applehatch/core/token.h
@@ -19,14 +19,14 @@
 /// Permission to run a request at one incarnation of one upstream only.
 struct Ticket
 {
-    UpstreamLife life;
+    UpstreamIncarnation target;
     std::string pool;        ///< `team/pool`.
     std::uint64_t nonce = 0; ///< Makes each ticket a unique idempotency key.
     Instant expires;         ///< On the sidecar's clock.
 };
 
-[[nodiscard]] auto formatContext(const UpstreamLife &context) -> std::string;
-[[nodiscard]] auto parseContext(std::string_view text) -> std::optional<UpstreamLife>;
+[[nodiscard]] auto formatContext(const UpstreamIncarnation &context) -> std::string;
+[[nodiscard]] auto parseContext(std::string_view text) -> std::optional<UpstreamIncarnation>;
 [[nodiscard]] auto formatPosition(const Position &position) -> std::string;
 [[nodiscard]] auto parsePosition(std::string_view text) -> std::optional<Position>;
 [[nodiscard]] auto formatTicket(const Ticket &ticket) -> std::string;
--- a/include/applehatch/core/wait-queue.h
+++ b/include/applehatch/core/wait-queue.h
@@ -40,7 +40,7 @@
 
     /// The number of waiting requests that are served before `waiting`, which may be in the queue
     /// already or is counted as if it were pushed now.
-    [[nodiscard]] auto ahead(const Waiting &waiting) const -> double;
+    [[nodiscard]] auto countAhead(const Waiting &waiting) const -> double;
 
     [[nodiscard]] auto size() const -> std::size_t { return places_.size(); }
 
--- a/include/applehatch/direct/context-map.h
+++ b/include/applehatch/direct/context-map.h
@@ -12,13 +12,13 @@
 namespace applehatch::direct {
 
 /// A context and the upstream that a request with it was sent to.
-struct ContextPlace
+struct ContextPlacement
 {
     std::uint64_t context = 0;
     UpstreamId upstream = 0;
     std::uint32_t tokens = 0; ///< Size of the context in tokens.
 
-    auto operator==(const ContextPlace &) const -> bool = default;
+    auto operator==(const ContextPlacement &) const -> bool = default;
 };
 
 /// Upstreams to which this router and its peers recently sent requests with shared contexts.
@@ -36,10 +36,10 @@
     /// use.
     static constexpr Duration reportWindow = std::chrono::milliseconds(500);
     /// Maximum number of uses in one digest; 64 uses of 16 bytes keep it within one datagram.
-    static constexpr std::size_t mostTold = 64;
+    static constexpr std::size_t maxReportedUses = 64;
 
-    auto noteSent(const ContextPlace &placement, Instant now) -> void;
-    auto notePeer(const std::vector<ContextPlace> &placements, Instant now) -> void;
+    auto noteSent(const ContextPlacement &placement, Instant now) -> void;
+    auto notePeer(const std::vector<ContextPlacement> &placements, Instant now) -> void;
     /// Returns the upstreams that may hold `context`, the most recently used first.
     [[nodiscard]] auto upstreamsOf(std::uint64_t context, Instant now) const
         -> std::vector<UpstreamId>;
@@ -51,7 +51,7 @@
     /// Returns this router's own recent uses without duplicates. Where reports to peers are less
     /// frequent, `within` extends the period covered.
     [[nodiscard]] auto recentUses(Instant now, Duration within = reportWindow)
-        -> std::vector<ContextPlace>;
+        -> std::vector<ContextPlacement>;
 
 private:
     /// Minimum interval between recounts of the tokens; iterating over 20,000 contexts takes one to
@@ -66,11 +66,11 @@
 
     struct Use
     {
-        ContextPlace placement;
+        ContextPlacement placement;
         Instant at;
     };
 
-    auto put(const ContextPlace &placement, Instant now) -> void;
+    auto put(const ContextPlacement &placement, Instant now) -> void;
 
     core::ExpiringMap<Entry> entries_{capacity};
     std::unordered_map<UpstreamId, std::uint64_t> tokensAt_;
--- a/include/applehatch/direct/directory.h
+++ b/include/applehatch/direct/directory.h
@@ -44,7 +44,7 @@
     Duration timeout{0}; ///< Limit on the time until the answer is complete.
     /// Target response time; answers within it are of full use to the caller.
     Duration objective{0};
-    Duration eventPause{0};     ///< Target for the pause between two events of a stream.
+    Duration maxEventGap{0};    ///< Target for the pause between two events of a stream.
     std::uint32_t attempts = 1; ///< Maximum number of upstreams that one request may be sent to.
     int priority = 0;           ///< 0 is the most urgent.
     bool isPublic = false;      ///< Accepts requests without a key.
@@ -120,9 +120,9 @@
 {
     UpstreamId id = 0; ///< Hash of `instance` and `incarnation`; nothing known of one incarnation
                        ///< applies to the next.
-    std::string instance;   ///< Name of the upstream, by which it recognizes and refuses requests
-                            ///< meant for another.
-    std::uint64_t life = 0; ///< Changes when the upstream restarts under the same name.
+    std::string instance; ///< Name of the upstream, by which it recognizes and refuses requests
+                          ///< meant for another.
+    std::uint64_t incarnation = 0; ///< Changes when the upstream restarts under the same name.
     std::string service;
     Address address;
     std::string dataCenter;
--- a/include/applehatch/direct/dispatcher.h
+++ b/include/applehatch/direct/dispatcher.h
@@ -5,11 +5,11 @@
 #include "applehatch/direct/admission.h"
 #include "applehatch/direct/choice.h"
 #include "applehatch/direct/context-map.h"
+#include "applehatch/direct/crash-suspects.h"
 #include "applehatch/direct/directory.h"
-#include "applehatch/direct/load-book.h"
+#include "applehatch/direct/load-tracker.h"
 #include "applehatch/direct/prompt.h"
 #include "applehatch/direct/retry-budget.h"
-#include "applehatch/direct/suspects.h"
 #include "applehatch/direct/upstream-health.h"
 
 #include <cstdint>
@@ -37,7 +37,7 @@
 };
 
 /// The properties of a request, besides the permit, that the selection of an upstream depends on.
-struct Demand
+struct RoutingInput
 {
     Prompt prompt;
     Fingerprint fingerprint = 0;
@@ -50,15 +50,15 @@
     Upstream upstream;
     std::uint32_t load = 0;
     std::uint32_t usable = 0;
-    Duration foreseenWait{0}; ///< Expected wait for a free slot there.
-    bool heldContext = false;
+    Duration expectedWait{0}; ///< Expected wait for a free slot there.
+    bool holdsContext = false;
     /// An engine from which to fetch the context if the chosen one does not hold it: fetching
     /// 10,000 tokens takes about 5 ms, reading them 120 ms.
     std::optional<Address> fetchFrom;
 };
 
 /// The router's data centre and the seed of its random numbers.
-struct Self
+struct DispatcherOptions
 {
     std::string dataCenter;
     std::uint64_t seed = 0;
@@ -69,7 +69,7 @@
 class Dispatcher
 {
 public:
-    Dispatcher(Self options, RetryLimits retryLimits, Instant startedAt);
+    Dispatcher(DispatcherOptions options, RetryLimits retryLimits, Instant startedAt);
 
     /// Installs a configuration. Returns false and changes nothing unless its version is newer than
     /// the current one.
@@ -87,7 +87,7 @@
     /// Whether a request may still be sent to a chosen upstream. Opening a connection may have
     /// taken seconds, and an upstream that began to drain in the meantime must not get new
     /// requests.
-    [[nodiscard]] auto mayTake(UpstreamId id) const -> bool;
+    [[nodiscard]] auto acceptsNewRequests(UpstreamId id) const -> bool;
 
     /// Finds the route, checks the key and draws the target service.
     [[nodiscard]] auto admit(std::string_view host, std::string_view path,
@@ -99,23 +99,24 @@
 
     /// Selects an upstream that has not been tried; refuses a first attempt that would wait too
     /// long for a slot.
-    [[nodiscard]] auto choose(const Permit &permit, const Demand &input, Instant now)
+    [[nodiscard]] auto choose(const Permit &permit, const RoutingInput &input, Instant now)
         -> std::variant<Choice, core::Failure>;
 
     /// Whether a usable upstream remains that has not been tried.
-    [[nodiscard]] auto hasOther(const Permit &permit, const Demand &input, Instant now) const
-        -> bool;
+    [[nodiscard]] auto hasUntriedUpstream(const Permit &permit, const RoutingInput &input,
+                                          Instant now) const -> bool;
 
-    auto noteSent(UpstreamId upstream, const Demand &input, Instant now) -> void;
+    auto noteSent(UpstreamId upstream, const RoutingInput &input, Instant now) -> void;
     /// Records that the request left `upstream`, with any outcome.
     auto noteDone(UpstreamId upstream) -> void { loads_.noteDone(upstream); }
     /// Counts the request for admission control from when it is sent until it leaves its upstream.
     /// `serviceTime` is how long it occupied a slot, if it was served.
-    auto noteTaken(const Permit &permit) -> void
+    auto noteAdmissionStart(const Permit &permit) -> void
     {
         admission_.noteSent(admissionRequestOf(permit));
     }
-    auto noteLeft(const Permit &permit, std::optional<Duration> serviceTime, Instant now) -> void
+    auto noteAdmissionEnd(const Permit &permit, std::optional<Duration> serviceTime, Instant now)
+        -> void
     {
         admission_.noteDone(admissionRequestOf(permit), serviceTime, now);
     }
@@ -131,7 +132,7 @@
     [[nodiscard]] auto retryAfter() -> Duration;
     /// Returns the retry delay for a request refused by admission control; it grows with the number
     /// of recent refusals.
-    [[nodiscard]] auto returnTime(const Permit &permit, Instant now) -> Duration;
+    [[nodiscard]] auto overloadRetryAfter(const Permit &permit, Instant now) -> Duration;
 
     [[nodiscard]] auto loads() -> LoadTracker & { return loads_; }
     [[nodiscard]] auto contexts() -> ContextMap & { return contexts_; }
@@ -154,7 +155,7 @@
     [[nodiscard]] static auto admissionRequestOf(const Permit &permit) -> AdmissionRequest;
     [[nodiscard]] auto refusal(core::ErrorKind kind, std::string detail) -> core::Failure;
 
-    Self options_;
+    DispatcherOptions options_;
     std::uint64_t randomState_;
     ConfigurationPtr configuration_;
     UpstreamList upstreams_;
--- a/include/applehatch/direct/reader-book.h
+++ b/include/applehatch/direct/reader-tracker.h
@@ -17,7 +17,7 @@
 using core::Instant;
 
 /// The state of a router that reads the registry, reported by itself or relayed by other routers.
-struct ReaderWord
+struct ReaderStatus
 {
     Address router;
     /// Increases with each answer of the registry to that router, which alone increments it.
@@ -39,56 +39,56 @@
 /// Routers relay each status and relaying takes time; among many paths the fastest would otherwise
 /// make an old status appear recent again and again, so that the fleet relies for seconds on a
 /// reader that has died.
-class ReaderBook
+class ReaderTracker
 {
 public:
     /// Longest wait of a watch, and so the interval at which an idle registry answers each reader.
-    static constexpr Duration watchPeriod = std::chrono::milliseconds(2500);
+    static constexpr Duration watchTimeout = std::chrono::milliseconds(2500);
     /// Time for which a reader is trusted after its last answer: the longest watch, a slow answer
     /// and the propagation of its status.
-    static constexpr Duration trustedFor = std::chrono::milliseconds(3300);
+    static constexpr Duration statusLifetime = std::chrono::milliseconds(3300);
     /// Time for which a heartbeat is remembered; longer than any status that carries it can be
     /// under way.
-    static constexpr Duration heartbeatLifetime = 3 * trustedFor;
+    static constexpr Duration heartbeatLifetime = 3 * statusLifetime;
 
     /// `firstHeartbeat` is higher than any heartbeat of an earlier process at this address, unless
     /// the time of day was set back.
-    ReaderBook(Address self, std::uint64_t firstHeartbeat);
+    ReaderTracker(Address self, std::uint64_t firstHeartbeat);
 
     /// Records that the registry answered this router.
-    auto beat(Instant now) -> void;
+    auto noteAnswer(Instant now) -> void;
     /// Returns this router's own status; empty if the registry has not answered it recently.
-    [[nodiscard]] auto ownWord(std::uint64_t revision, Instant now) const
-        -> std::optional<ReaderWord>;
+    [[nodiscard]] auto ownStatus(std::uint64_t revision, Instant now) const
+        -> std::optional<ReaderStatus>;
 
-    auto note(const ReaderWord &status, Instant now) -> void;
+    auto note(const ReaderStatus &status, Instant now) -> void;
     /// Records that `router` itself reported that it does not read the registry.
     auto noteStopped(const Address &router) -> void;
     /// Stops trusting all readers if the registry has answered none of them for longer than
     /// `limit`, as far as is known here; returns true if so. They are trusted again once a later
     /// answer to one of them is known.
-    auto setAsideWhenQuiet(Duration limit, Instant now) -> bool;
+    auto distrustWhenSilent(Duration limit, Instant now) -> bool;
 
     /// Returns the other routers that read the registry, lowest rank first, with their current
     /// ages.
-    [[nodiscard]] auto readers(Instant now) const -> std::vector<ReaderWord>;
+    [[nodiscard]] auto readers(Instant now) const -> std::vector<ReaderStatus>;
     /// Returns the statuses to report in a digest: this router's own if it reads, and those of the
     /// lowest ranks. Every router decides by the lowest ranks alone: if the most recent statuses
     /// were sent instead, each of many readers would hear of too few with lower ranks and would
     /// keep reading.
-    [[nodiscard]] auto told(std::optional<ReaderWord> own, Instant now) const
-        -> std::vector<ReaderWord>;
+    [[nodiscard]] auto reportedStatuses(std::optional<ReaderStatus> own, Instant now) const
+        -> std::vector<ReaderStatus>;
     /// Returns the time since the registry's latest answer to any router; empty if no answer is
     /// known.
-    [[nodiscard]] auto sinceAnswer(Instant now) const -> std::optional<Duration>;
+    [[nodiscard]] auto timeSinceAnswer(Instant now) const -> std::optional<Duration>;
     /// Returns the timeout of this router's next watch. It spreads the answers to the readers
     /// evenly, so that the latest answer is always recent without additional calls.
-    [[nodiscard]] auto nextWatch(Instant now) const -> Duration;
+    [[nodiscard]] auto nextWatchTimeout(Instant now) const -> Duration;
 
 private:
     struct Entry
     {
-        ReaderWord status;
+        ReaderStatus status;
         Instant answeredAt;
         bool stopped = false;
     };
--- a/include/applehatch/direct/registry-readers.h
+++ b/include/applehatch/direct/registry-readers.h
@@ -15,7 +15,7 @@
 using core::Instant;
 
 /// Ranks of the other routers that were heard recently.
-struct HeardRanks
+struct PeerRanks
 {
     std::vector<std::uint64_t> reading; ///< Routers that read the registry and get answers.
     std::vector<std::uint64_t> alive;   ///< All routers, whether they read or not.
@@ -35,7 +35,7 @@
     /// Number of readers: two may fail at the same time and one remains. The call rate is
     /// proportional to it: 1.2 calls a second for three idle watches, whatever the size of the
     /// fleet.
-    static constexpr std::size_t wanted = 3;
+    static constexpr std::size_t targetReaders = 3;
     /// A router stops reading after enough readers of lower rank have been heard for this long,
     /// which is two digests; each change of the decision costs a call.
     static constexpr Duration stopDelay = std::chrono::milliseconds(500);
@@ -58,11 +58,11 @@
     static constexpr Duration minSilence = std::chrono::milliseconds(1250);
     /// Timeout of the first watch after this router begins to read; its answer proves that the
     /// registry is reachable.
-    static constexpr Duration proofWait = std::chrono::milliseconds(50);
+    static constexpr Duration firstWatchTimeout = std::chrono::milliseconds(50);
 
     /// Returns how long the registry may answer no router before the next in rank reads, if a
     /// change must be in force everywhere within `bound`.
-    [[nodiscard]] static auto quietFor(Duration bound) -> Duration
+    [[nodiscard]] static auto maxSilence(Duration bound) -> Duration
     {
         return std::max(minSilence, std::chrono::duration_cast<Duration>(bound * silenceShare));
     }
@@ -74,13 +74,13 @@
 
     /// Updates the decision from the routers that were heard; returns true if this router should
     /// read.
-    auto decide(const HeardRanks &heard, Instant now) -> bool;
+    auto decide(const PeerRanks &heard, Instant now) -> bool;
     [[nodiscard]] auto reads() const -> bool { return reads_; }
     /// Whether enough others read and this router is about to stop, so that it need not report its
     /// reading.
-    [[nodiscard]] auto isSpare() const -> bool { return redundantSince_.has_value(); }
+    [[nodiscard]] auto isRedundant() const -> bool { return redundantSince_.has_value(); }
     /// Returns how long this router waits for routers of lower rank to take over first.
-    [[nodiscard]] auto delay() const -> Duration { return delay_; }
+    [[nodiscard]] auto takeoverDelay() const -> Duration { return delay_; }
 
 private:
     [[nodiscard]] auto countLower(const std::vector<std::uint64_t> &ranks) const -> std::size_t;
--- a/include/applehatch/direct/registry-replica.h
+++ b/include/applehatch/direct/registry-replica.h
@@ -36,7 +36,7 @@
 };
 
 /// The changes after `since` up to `revision`; all entries if `since` is 0.
-struct RegistryNews
+struct RegistryDelta
 {
     std::uint64_t since = 0;
     std::uint64_t revision = 0;
@@ -44,7 +44,7 @@
 };
 
 /// An entry that is currently in force.
-struct HeldItem
+struct ReplicaItem
 {
     std::string value;
     std::uint64_t revision = 0;
@@ -78,15 +78,18 @@
         -> bool;
     /// Applies the changes received from a peer. Changes that begin after the current revision
     /// would leave a gap and are ignored.
-    auto apply(const RegistryNews &delta, Instant now) -> bool;
+    auto apply(const RegistryDelta &delta, Instant now) -> bool;
     /// Drops entries that stayed doubtful for too long; returns true if there were any.
     auto expire(Instant now) -> bool;
 
     [[nodiscard]] auto revision() const -> std::uint64_t { return revision_; }
-    [[nodiscard]] auto items() const -> const std::map<std::string, HeldItem> & { return items_; }
+    [[nodiscard]] auto items() const -> const std::map<std::string, ReplicaItem> &
+    {
+        return items_;
+    }
     /// Returns what a peer at `revision` needs: the changes since then, or all entries if those
     /// changes are no longer known. Entries that are doubtful count as removed.
-    [[nodiscard]] auto newsSince(std::uint64_t revision) const -> RegistryNews;
+    [[nodiscard]] auto deltaSince(std::uint64_t revision) const -> RegistryDelta;
 
 private:
     /// Maximum number of removals remembered for peers, at about 100 bytes each. A fleet that loses
@@ -105,7 +108,7 @@
     bool reachable_ = true;
     Instant settledAt_; ///< Until then a missing entry may be written again shortly.
     std::uint64_t revision_ = 0;
-    std::map<std::string, HeldItem> items_;
+    std::map<std::string, ReplicaItem> items_;
     std::deque<Removal> removals_;   // Oldest first.
     std::uint64_t historySince_ = 0; // Every later change is in `items_` or `removals_`.
 };
--- a/include/applehatch/direct/stream-pace.h
+++ b/include/applehatch/direct/stream-duration-estimator.h
@@ -12,7 +12,7 @@
 /// A process that shuts down has a fixed time left. A stream that is accepted too late is cut off
 /// in the middle and its caller starts over; one that is refused needlessly costs its caller a
 /// request to another router.
-class StreamPace
+class StreamDurationEstimator
 {
 public:
     /// Time per token assumed before any stream has finished; slow enough that a stream accepted
--- a/include/applehatch/gateway/exchange.h
+++ b/include/applehatch/gateway/exchange.h
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "applehatch/direct/dispatcher.h"
-#include "applehatch/direct/stream-pace.h"
+#include "applehatch/direct/stream-duration-estimator.h"
 #include "applehatch/gateway/caller-connection.h"
-#include "applehatch/gateway/event-cutter.h"
+#include "applehatch/gateway/event-splitter.h"
 #include "applehatch/gateway/timer.h"
 #include "applehatch/gateway/upstream-pool.h"
 #include "applehatch/gateway/vocabulary.h"
@@ -54,7 +54,7 @@
     std::function<void(const std::string &id, const std::string &event, const std::string &why)>
         note;
     std::function<void(const ExchangeReport &)> ended;
-    direct::StreamPace *pace = nullptr;
+    direct::StreamDurationEstimator *pace = nullptr;
     /// Time left for streams that begin now; none unless the process is stopping and only accepts
     /// streams that can still finish.
     std::function<std::optional<Duration>()> streamTimeLeft;
@@ -152,7 +152,7 @@
     CallerPtr caller_;
     RequestMessage request_;
     direct::Permit permit_;
-    direct::Demand demand_;
+    direct::RoutingInput demand_;
     std::string id_;
     Instant arrivedAt_;
     Instant deadline_;
--- a/include/applehatch/gateway/gateway-host.h
+++ b/include/applehatch/gateway/gateway-host.h
@@ -36,9 +36,9 @@
     std::vector<Address> seeds;
     direct::RetryLimits retries;
     direct::LoadBound loadBound;
-    Duration stopWithin = std::chrono::seconds(8); ///< From the stop request to process exit.
+    Duration stopTimeout = std::chrono::seconds(8); ///< From the stop request to process exit.
     /// Maximum time from a change in the registry until it is in force on every router.
-    Duration changeWithin = std::chrono::seconds(2);
+    Duration maxPropagationTime = std::chrono::seconds(2);
 };
 
 /// Registry contents decoded into routing types.
@@ -50,7 +50,7 @@
 };
 
 using RegistryDecoder =
-    std::function<DecodedRegistry(const std::map<std::string, direct::HeldItem> &)>;
+    std::function<DecodedRegistry(const std::map<std::string, direct::ReplicaItem> &)>;
 
 class GatewayHost
 {
@@ -66,7 +66,7 @@
     auto stop() -> void;
 
     /// Sets a callback that runs when this router starts or stops being a registry reader.
-    auto onReadingTurn(std::function<void(bool reads)> hook) -> void
+    auto onReaderRoleChanged(std::function<void(bool reads)> hook) -> void
     {
         readerRoleHook_ = std::move(hook);
     }
@@ -74,10 +74,10 @@
     [[nodiscard]] auto watchableRevision() const -> std::optional<std::uint64_t>;
 
     /// Timeout of the next registry watch.
-    [[nodiscard]] auto nextWatch() const -> Duration;
+    [[nodiscard]] auto nextWatchTimeout() const -> Duration;
     /// How long this router lets routers of higher rank try the registry first when no router
     /// reaches it.
-    [[nodiscard]] auto readingDelay() const -> Duration { return readers_.delay(); }
+    [[nodiscard]] auto takeoverDelay() const -> Duration { return readers_.takeoverDelay(); }
 
     // Events from the registry client.
     auto registryRead(const direct::RegistrySnapshot &snapshot) -> void;
@@ -103,7 +103,7 @@
     auto applyRegistry() -> void;
     auto logUpstreamChanges(const direct::UpstreamList &upstreams) -> void;
     auto onPeerDigest(const PeerDigest &digest) -> void;
-    auto onPeerDelta(const direct::RegistryNews &delta) -> void;
+    auto onPeerDelta(const direct::RegistryDelta &delta) -> void;
     auto registryRegained() -> void;
     /// Decides whether this router reads the registry itself, and reports a change of role.
     auto updateReaderRole(Instant now) -> void;
@@ -131,7 +131,7 @@
     direct::RegistryReplica replica_;
     direct::RegistryReaders readers_;
     std::function<void(bool)> readerRoleHook_;
-    direct::StreamPace pace_;
+    direct::StreamDurationEstimator pace_;
     UpstreamPool pool_;
     GatewayMetrics metrics_;
     PeerMesh mesh_;
--- a/include/applehatch/gateway/peer-digest.h
+++ b/include/applehatch/gateway/peer-digest.h
@@ -2,10 +2,10 @@
 #pragma once
 
 #include "applehatch/direct/context-map.h"
-#include "applehatch/direct/load-book.h"
-#include "applehatch/direct/reader-book.h"
+#include "applehatch/direct/crash-suspects.h"
+#include "applehatch/direct/load-tracker.h"
+#include "applehatch/direct/reader-tracker.h"
 #include "applehatch/direct/registry-replica.h"
-#include "applehatch/direct/suspects.h"
 
 #include <cstdint>
 #include <optional>
@@ -21,19 +21,19 @@
 struct PeerDigest
 {
     Address sender;
-    std::uint64_t life = 0;     ///< Incarnation of the sending process.
-    std::uint64_t sequence = 0; ///< Increases with each digest; older digests are ignored.
-    std::uint64_t revision = 0; ///< Latest registry revision known to the sender.
+    std::uint64_t incarnation = 0; ///< Incarnation of the sending process.
+    std::uint64_t sequence = 0;    ///< Increases with each digest; older digests are ignored.
+    std::uint64_t revision = 0;    ///< Latest registry revision known to the sender.
     bool leaving = false;
     /// Set for a digest that is sent between the regular ones and reports only registry state. Its
     /// lists, except `readers`, are empty and carry no information.
     bool brief = false;
     /// Registry readers, including the sender if it is one.
-    std::vector<direct::ReaderWord> readers;
+    std::vector<direct::ReaderStatus> readers;
     std::vector<Address> members; ///< Some of the routers known to the sender.
     std::vector<direct::PeerLoad> loads;
     std::vector<direct::CrashCount> crashes;
-    std::vector<direct::ContextPlace> contexts; ///< Recently used contexts.
+    std::vector<direct::ContextPlacement> contexts; ///< Recently used contexts.
 };
 
 [[nodiscard]] auto encodeDigest(const PeerDigest &digest) -> std::string;
@@ -41,8 +41,8 @@
 [[nodiscard]] auto decodeDigest(std::string_view bytes) -> std::optional<PeerDigest>;
 
 /// Encodes and compresses a registry delta.
-[[nodiscard]] auto encodeNews(const direct::RegistryNews &delta) -> std::string;
+[[nodiscard]] auto encodeDelta(const direct::RegistryDelta &delta) -> std::string;
 /// Returns none if `bytes` is not a valid delta.
-[[nodiscard]] auto decodeNews(std::string_view bytes) -> std::optional<direct::RegistryNews>;
+[[nodiscard]] auto decodeDelta(std::string_view bytes) -> std::optional<direct::RegistryDelta>;
 
 } // namespace applehatch::gateway
--- a/include/applehatch/gateway/peer-mesh.h
+++ b/include/applehatch/gateway/peer-mesh.h
@@ -27,7 +27,7 @@
     /// Called with each new digest of a peer; outdated digests are dropped before.
     std::function<void(const PeerDigest &)> digestReceived;
     /// Called with a registry delta fetched from a peer.
-    std::function<void(const direct::RegistryNews &)> deltaReceived;
+    std::function<void(const direct::RegistryDelta &)> deltaReceived;
     std::function<void(const std::string &event, const std::string &peer)> note;
 };
 
@@ -57,7 +57,7 @@
     auto fetchNewer(std::uint64_t revision) -> void;
     [[nodiscard]] auto newestRevision(Instant now) const -> std::uint64_t;
     [[nodiscard]] auto table() const -> const PeerTable & { return table_; }
-    [[nodiscard]] auto readerBook() -> direct::ReaderBook & { return table_.readerBook(); }
+    [[nodiscard]] auto readerTracker() -> direct::ReaderTracker & { return table_.readerTracker(); }
 
 private:
     auto receive() -> void;
--- a/include/applehatch/gateway/peer-table.h
+++ b/include/applehatch/gateway/peer-table.h
@@ -1,7 +1,7 @@
 /// Known routers and the last state received from each.
 #pragma once
 
-#include "applehatch/core/listening-clock.h"
+#include "applehatch/core/stall-aware-clock.h"
 #include "applehatch/gateway/peer-digest.h"
 
 #include <cstddef>
@@ -46,10 +46,10 @@
     static constexpr std::size_t fanout = 10;
     /// Maximum number of members advertised in a digest, at 6 bytes each; all members are
     /// advertised within a few digests.
-    static constexpr std::size_t mostMembers = 8;
+    static constexpr std::size_t maxMembersPerDigest = 8;
     /// A router is considered dead, and nothing is requested from it, when no digest of it arrived
     /// for this long and for `maxMissedRounds` rounds.
-    static constexpr Duration aliveFor = std::chrono::milliseconds(1500);
+    static constexpr Duration aliveTimeout = std::chrono::milliseconds(1500);
     /// Number of consecutive digests that may be lost: at a loss rate of one in twenty, three in a
     /// row are lost once in 8,000.
     static constexpr int maxMissedRounds = 3;
@@ -77,22 +77,25 @@
     [[nodiscard]] auto nextTargets(Instant now) -> std::vector<Address>;
     /// Targets of a brief digest that is not sent to all routers; like `nextTargets`, with a
     /// round-robin position of its own.
-    [[nodiscard]] auto nextTold(Instant now) -> std::vector<Address>;
+    [[nodiscard]] auto nextBriefTargets(Instant now) -> std::vector<Address>;
     /// All known routers and the seeds, without this router.
     [[nodiscard]] auto targets(Instant now) const -> std::vector<Address>;
     /// Routers to advertise in the next digest, in round-robin order.
     [[nodiscard]] auto nextMembers(Instant now) -> std::vector<Address>;
     /// Routers heard within the current alive timeout.
     [[nodiscard]] auto alive(Instant now) const -> std::vector<PeerRow>;
-    [[nodiscard]] auto readerBook() -> direct::ReaderBook & { return readerTracker_; }
-    [[nodiscard]] auto readerBook() const -> const direct::ReaderBook & { return readerTracker_; }
+    [[nodiscard]] auto readerTracker() -> direct::ReaderTracker & { return readerTracker_; }
+    [[nodiscard]] auto readerBook() const -> const direct::ReaderTracker &
+    {
+        return readerTracker_;
+    }
     /// Number of routers that share the retry budget, including this one; at least the number of
     /// seeds.
     [[nodiscard]] auto routers(Instant now) const -> std::size_t;
     /// Time in which every known router is sent a digest once.
-    [[nodiscard]] auto round(Instant now) const -> Duration;
+    [[nodiscard]] auto roundDuration(Instant now) const -> Duration;
     /// How long a router counts as alive after its last digest, given the size of the fleet.
-    [[nodiscard]] auto believedFor(Instant now) const -> Duration;
+    [[nodiscard]] auto currentAliveTimeout(Instant now) const -> Duration;
 
 private:
     struct AdvertisedPeer
@@ -110,10 +113,10 @@
     Address self_;
     Duration digestInterval_;
     std::vector<Address> seeds_;
-    mutable core::ListeningClock listening_; ///< Started by its first reading.
+    mutable core::StallAwareClock listening_; ///< Started by its first reading.
     std::map<std::string, PeerRow> peers_;
     std::map<std::string, AdvertisedPeer> advertised_; // Advertised by others, not heard yet.
-    direct::ReaderBook readerTracker_;
+    direct::ReaderTracker readerTracker_;
     std::size_t targetOffset_;
     std::size_t briefTargetOffset_;
     std::size_t memberOffset_;
--- a/include/applehatch/gateway/vocabulary.h
+++ b/include/applehatch/gateway/vocabulary.h
@@ -38,12 +38,12 @@
     /// Headers that only routers may set; removed from callers' requests.
     std::vector<std::string> routerOnly;
     /// Headers that decide how a request runs; never removed, even if listed in `Connection`.
-    std::vector<std::string> kept;
+    std::vector<std::string> endToEnd;
 
     std::function<direct::Prompt(std::string_view)> readPrompt;
     std::function<std::optional<LoadReport>(std::string_view)> readLoad;
     /// Parses the maximum number of tokens of the answer; 0 if unknown.
-    std::function<std::uint32_t(std::string_view)> readMostTokens;
+    std::function<std::uint32_t(std::string_view)> readMaxTokens;
 };
 
 } // namespace applehatch::gateway
--- a/include/applehatch/process/settings-feed.h
+++ b/include/applehatch/process/settings-feed.h
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "applehatch/clients/settings-client.h"
-#include "applehatch/core/host-list-pace.h"
+#include "applehatch/core/host-list-schedule.h"
 #include "applehatch/core/settings-replica.h"
-#include "applehatch/process/address-book.h"
+#include "applehatch/process/address-table.h"
 #include "applehatch/process/peer-links.h"
 #include "applehatch/process/periodic.h"
 #include "applehatch/settings/process-file.h"
@@ -90,8 +90,8 @@
     PeerLinks &links_;
     clients::SettingsClient client_;
     clients::HostListClient hostListClient_;
-    core::HostList hostList_;             ///< Last read result; used only by the polling thread.
-    core::HostListPace hostListSchedule_; ///< Used only by the polling thread.
+    core::HostList hostList_; ///< Last read result; used only by the polling thread.
+    core::HostListSchedule hostListSchedule_; ///< Used only by the polling thread.
     SettingsFeedHooks hooks_;
 
     std::mutex performMutex_;           ///< Held while performing actions; locked before `mutex_`.
--- a/include/applehatch/settings/settings.h
+++ b/include/applehatch/settings/settings.h
@@ -71,7 +71,7 @@
     /// Maximum expected wait that a chat accepts at its owner rather than start cold on another
     /// engine. Zero moves the chat at once. With a longer wait more chats find their context, and a
     /// busy upstream stays at its load bound more often.
-    Duration homeWait = std::chrono::seconds(1);
+    Duration maxOwnerWait = std::chrono::seconds(1);
     QueueOrder queueOrder = QueueOrder::DeadlineWithRefusal;
     Duration defaultDeadline = std::chrono::seconds(120);
     Duration maxDeadline = std::chrono::seconds(600);
--- a/include/applehatch/wire/link-loop.h
+++ b/include/applehatch/wire/link-loop.h
@@ -50,9 +50,9 @@
 /// Limits of one link.
 struct LinkLimits
 {
-    std::size_t queuedBytes = 64U << 20U; ///< Above this the link closes, with `onDown`.
+    std::size_t maxQueuedBytes = 64U << 20U; ///< Above this the link closes, with `onDown`.
     /// Minimum interval between two calls of `onResponded`.
-    core::Duration respondedPeriod = std::chrono::milliseconds(500);
+    core::Duration minRespondedInterval = std::chrono::milliseconds(500);
     /// A link that is not up after this time is closed, with `onDown`.
     core::Duration connectTimeout = std::chrono::seconds(1);
 };
--- a/src/admin/documents.cc
+++ b/src/admin/documents.cc
@@ -80,7 +80,7 @@
         {"loadMultiple", pool.loadMultiple},
         {"queueLimit", pool.queueLimit},
         {"queueWaitMs", milliseconds(pool.queueWait)},
-        {"homeWaitMs", milliseconds(pool.homeWait)},
+        {"homeWaitMs", milliseconds(pool.maxOwnerWait)},
         {"queueOrder", queueOrderName(pool.queueOrder)},
         {"defaultDeadlineMs", milliseconds(pool.defaultDeadline)},
         {"maxDeadlineMs", milliseconds(pool.maxDeadline)},
--- a/src/bench/placement-bench.cc
+++ b/src/bench/placement-bench.cc
@@ -97,7 +97,7 @@
     for (const auto &member : pool.members)
         actions += node.handle(LinkUp{member.id, 1, Instant{}}, Instant{}).size();
     Digest digest;
-    digest.entries = loads.freshest(upstreams, Instant{});
+    digest.entries = loads.newestEntries(upstreams, Instant{});
     actions += node.handle(DigestReceived{digest}, Instant{}).size();
     const auto body = std::make_shared<const std::string>(4096, 'x');
     Clock::duration spent{};
@@ -114,7 +114,7 @@
         auto done = node.handle(std::move(request), now);
         spent += Clock::now() - begin;
         actions += done.size();
-        actions += node.handle(CallerGone{"r" + std::to_string(i)}, now).size();
+        actions += node.handle(CallerDisconnected{"r" + std::to_string(i)}, now).size();
     }
     std::printf("node=%s us_per_request=%.2f actions=%zu\n", name, microseconds(spent), actions);
 }
--- a/src/bench/slopes-load.cc
+++ b/src/bench/slopes-load.cc
@@ -210,7 +210,7 @@
     LoadTable router;
     Random random(1);
     const PoolSums sums;
-    const CrashBook crashes(10);
+    const CrashTracker crashes(10);
     auto now = start;
     double known = 0;
     constexpr std::size_t seconds = 120;
--- a/src/bench/slopes-settings.cc
+++ b/src/bench/slopes-settings.cc
@@ -82,7 +82,7 @@
 {
     SettingsPull pull;
     for (std::size_t i = 0; i < teams; ++i)
-        pull.held["team-" + std::to_string(i)] = i + 1;
+        pull.knownIndices["team-" + std::to_string(i)] = i + 1;
     return pull;
 }
 
--- a/src/bench/slopes-tables.cc
+++ b/src/bench/slopes-tables.cc
@@ -1,7 +1,7 @@
 // Memory of the sidecar's tables: pointers, keys, answers, tombstones, crash notices.
 #include "applehatch/core/answer-store.h"
 #include "applehatch/core/chat-pointers.h"
-#include "applehatch/core/crash-book.h"
+#include "applehatch/core/crash-tracker.h"
 #include "applehatch/core/run-once-table.h"
 #include "applehatch/core/sidecar-node.h"
 #include "slopes.h"
@@ -26,9 +26,9 @@
         for (std::size_t i = 0; i < chats; ++i) {
             const auto chat = stableHash(std::to_string(i));
             if (warm)
-                held->ran(chat, start);
+                held->markRun(chat, start);
             else
-                held->moved(chat, i + 1, start);
+                held->markMoved(chat, i + 1, start);
         }
         return held;
     });
@@ -82,7 +82,7 @@
 auto notices(std::size_t count) -> double
 {
     return heapOf([&] {
-        auto book = std::make_unique<CrashBook>(count);
+        auto book = std::make_unique<CrashTracker>(count);
         for (std::size_t i = 0; i < count; ++i)
             (void)book->apply({stableHash(std::to_string(i)), {i, 7}, 1, 600s}, start);
         return book;
--- a/src/core/chat-pointers.cc
+++ b/src/core/chat-pointers.cc
@@ -16,30 +16,30 @@
     , warm_(capacity)
 { }
 
-auto ChatPointers::moved(ChatKey chat, UpstreamId holder, Instant now) -> void
+auto ChatPointers::markMoved(ChatKey chat, UpstreamId holder, Instant now) -> void
 {
     if (chat != 0 && holder != 0)
         holders_.put(chat, holder, now + holderLifetime);
 }
 
-auto ChatPointers::ran(ChatKey chat, Instant now) -> void
+auto ChatPointers::markRun(ChatKey chat, Instant now) -> void
 {
     holders_.erase(chat);
-    stored(chat, now);
+    markStored(chat, now);
 }
 
-auto ChatPointers::stored(ChatKey chat, Instant now) -> void
+auto ChatPointers::markStored(ChatKey chat, Instant now) -> void
 {
     if (chat != 0)
         warm_.put(chat, {}, now + warmLifetime);
 }
 
-auto ChatPointers::evicted(ChatKey chat) -> void
+auto ChatPointers::markEvicted(ChatKey chat) -> void
 {
     warm_.erase(chat);
 }
 
-auto ChatPointers::evictedAll() -> void
+auto ChatPointers::markAllEvicted() -> void
 {
     warm_.expire(Instant::max());
 }
@@ -55,7 +55,7 @@
     return holder == nullptr ? 0 : *holder;
 }
 
-auto ChatPointers::hottest(std::size_t count) const -> std::vector<ChatKey>
+auto ChatPointers::mostRecentlyUsed(std::size_t count) const -> std::vector<ChatKey>
 {
     return warm_.newest(count);
 }
--- a/src/core/crash-book.cc
+++ b/src/core/crash-tracker.cc
@@ -1,4 +1,4 @@
-#include "applehatch/core/crash-book.h"
+#include "applehatch/core/crash-tracker.h"
 
 #include <algorithm>
 #include <chrono>
@@ -14,13 +14,13 @@
 
 } // namespace
 
-CrashBook::CrashBook(std::size_t capacity)
+CrashTracker::CrashTracker(std::size_t capacity)
     : capacity_(capacity)
 { }
 
-auto CrashBook::apply(const CrashNotice &notice, Instant now) -> bool
+auto CrashTracker::apply(const CrashNotice &notice, Instant now) -> bool
 {
-    const Key key{notice.fingerprint, notice.life.upstream, notice.life.incarnation,
+    const Key key{notice.fingerprint, notice.origin.upstream, notice.origin.incarnation,
                   notice.sequence};
     const auto withdrawn = notice.remaining <= Duration::zero();
     const auto found = entries_.find(key);
@@ -33,7 +33,7 @@
     return true;
 }
 
-auto CrashBook::clear(Fingerprint fingerprint, Instant now) -> void
+auto CrashTracker::clear(Fingerprint fingerprint, Instant now) -> void
 {
     for (auto item = entries_.lower_bound({fingerprint, 0, 0, 0});
          item != entries_.end() && item->first.fingerprint == fingerprint; ++item) {
@@ -42,7 +42,7 @@
     }
 }
 
-auto CrashBook::upstreams(Fingerprint fingerprint, Instant now) const -> std::vector<UpstreamId>
+auto CrashTracker::upstreams(Fingerprint fingerprint, Instant now) const -> std::vector<UpstreamId>
 {
     std::vector<UpstreamId> found;
     for (auto item = entries_.lower_bound({fingerprint, 0, 0, 0});
@@ -53,7 +53,7 @@
     return found;
 }
 
-auto CrashBook::lastAt(Fingerprint fingerprint, Instant now) const -> std::optional<Instant>
+auto CrashTracker::lastCrashAt(Fingerprint fingerprint, Instant now) const -> std::optional<Instant>
 {
     std::optional<Instant> last;
     for (auto item = entries_.lower_bound({fingerprint, 0, 0, 0});
@@ -64,17 +64,17 @@
     return last;
 }
 
-auto CrashBook::crashes(Fingerprint fingerprint, Instant now) const -> std::size_t
+auto CrashTracker::crashes(Fingerprint fingerprint, Instant now) const -> std::size_t
 {
     return upstreams(fingerprint, now).size();
 }
 
-auto CrashBook::isSuspect(Fingerprint fingerprint, Instant now) const -> bool
+auto CrashTracker::isSuspect(Fingerprint fingerprint, Instant now) const -> bool
 {
     return crashes(fingerprint, now) >= suspectThreshold;
 }
 
-auto CrashBook::notices(std::size_t count, Instant now) const -> std::vector<CrashNotice>
+auto CrashTracker::notices(std::size_t count, Instant now) const -> std::vector<CrashNotice>
 {
     std::vector<std::pair<std::uint64_t, CrashNotice>> ordered;
     for (const auto &[key, entry] : entries_) {
@@ -96,12 +96,12 @@
     return notices;
 }
 
-auto CrashBook::expire(Instant now) -> void
+auto CrashTracker::expire(Instant now) -> void
 {
     std::erase_if(entries_, [now](const auto &item) { return item.second.until <= now; });
 }
 
-auto CrashBook::dropOldest() -> void
+auto CrashTracker::dropOldest() -> void
 {
     entries_.erase(
         std::min_element(entries_.begin(), entries_.end(), [](const auto &a, const auto &b) {
--- a/src/core/gossip.cc
+++ b/src/core/gossip.cc
@@ -23,7 +23,7 @@
 
 // The own entry does not depend on the pool's members: a member that was removed from the settings
 // still reports its load.
-auto entriesFor(const DigestReader &reader, const GossipView &view, const LoadTable &loads,
+auto entriesFor(const DigestRecipient &reader, const GossipView &view, const LoadTable &loads,
                 std::size_t count, Instant now) -> std::vector<DigestEntry>
 {
     std::vector<DigestEntry> entries;
@@ -31,7 +31,7 @@
         return entries;
     if (const auto own = loads.find(view.self, now))
         entries.push_back(*own);
-    for (const auto &entry : loads.freshestOf(view.pool, reader.known, count, now)) {
+    for (const auto &entry : loads.newestEntriesOf(view.pool, reader.known, count, now)) {
         if (entry.upstream != view.self && entries.size() < count)
             entries.push_back(entry);
     }
@@ -96,7 +96,8 @@
 }
 
 auto composeDigest(const GossipView &view, const LoadTable &loads, const PoolSums &sums,
-                   const CrashBook &crashes, const DigestReader &reader, Instant now) -> Digest
+                   const CrashTracker &crashes, const DigestRecipient &reader, Instant now)
+    -> Digest
 {
     Digest digest;
     digest.settingsIndex = view.settingsIndex;
@@ -110,7 +111,7 @@
         digest.sums.resize(std::min(digest.sums.size(), room / sumBytes));
         room -= digest.sums.size() * sumBytes;
     }
-    if (reader.isNear || fitsOneDigest(view)) {
+    if (reader.isSameDataCenter || fitsOneDigest(view)) {
         const auto count = std::min(reader.maxEntries, room / entryBytes);
         digest.entries = entriesFor(reader, view, loads, count, now);
     }
@@ -169,7 +170,7 @@
         return entries;
     if (const auto own = loads.find(self, now))
         entries.push_back(*own);
-    for (const auto &entry : loads.freshest(count, now)) {
+    for (const auto &entry : loads.newestEntries(count, now)) {
         if (entry.upstream != self && entries.size() < count)
             entries.push_back(entry);
     }
--- a/src/core/host-list-pace.cc
+++ b/src/core/host-list-schedule.cc
@@ -1,4 +1,4 @@
-#include "applehatch/core/host-list-pace.h"
+#include "applehatch/core/host-list-schedule.h"
 
 #include "settings-replica-calls.h"
 
@@ -21,12 +21,12 @@
 
 } // namespace
 
-HostListPace::HostListPace(std::uint64_t seed)
+HostListSchedule::HostListSchedule(std::uint64_t seed)
     : random_(seed)
     , readsSinceFullRead_(static_cast<unsigned>(random_() % readsPerFullRead))
 { }
 
-auto HostListPace::wait() -> Duration
+auto HostListSchedule::nextWait() -> Duration
 {
     switch (last_) {
     case Last::None:
@@ -37,21 +37,21 @@
     case Last::Failure:
         break;
     }
-    return between(minWait, longestWait, random_);
+    return between(minWait, maxWait, random_);
 }
 
-auto HostListPace::wantsWhole() const -> bool
+auto HostListSchedule::needsFullRead() const -> bool
 {
     return readsSinceFullRead_ >= readsPerFullRead;
 }
 
-auto HostListPace::succeeded() -> void
+auto HostListSchedule::succeeded() -> void
 {
-    readsSinceFullRead_ = wantsWhole() ? 0 : readsSinceFullRead_ + 1;
+    readsSinceFullRead_ = needsFullRead() ? 0 : readsSinceFullRead_ + 1;
     last_ = Last::Read;
 }
 
-auto HostListPace::failed() -> void
+auto HostListSchedule::failed() -> void
 {
     last_ =
         last_ == Last::FirstFailure || last_ == Last::Failure ? Last::Failure : Last::FirstFailure;
--- a/src/core/load-table.cc
+++ b/src/core/load-table.cc
@@ -94,7 +94,7 @@
     return sum;
 }
 
-auto LoadTable::freshest(std::size_t count, Instant now) const -> std::vector<DigestEntry>
+auto LoadTable::newestEntries(std::size_t count, Instant now) const -> std::vector<DigestEntry>
 {
     std::vector<DigestEntry> entries;
     entries.reserve(entries_.size());
@@ -108,8 +108,8 @@
     return entries;
 }
 
-auto LoadTable::freshestOf(const Pool &pool, const std::vector<DigestEntry> &known,
-                           std::size_t count, Instant now) const -> std::vector<DigestEntry>
+auto LoadTable::newestEntriesOf(const Pool &pool, const std::vector<DigestEntry> &known,
+                                std::size_t count, Instant now) const -> std::vector<DigestEntry>
 {
     std::vector<DigestEntry> entries;
     for (const auto &member : pool.members) {
--- a/src/core/order-plan.cc
+++ b/src/core/order-plan.cc
@@ -59,7 +59,8 @@
 
 auto mayBeginRollout(const RolloutView &view) -> bool
 {
-    return view.out < view.width && view.quiet >= view.rank * view.step;
+    return view.unavailable < view.maxUnavailable
+        && view.belowLimitFor >= view.rank * view.delayPerRank;
 }
 
 } // namespace applehatch::core
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -139,7 +139,7 @@
         ranked.push_back(configured[index]);
     });
     const auto drawn = firstIds(configured, 2);
-    auto ids = firstIds(ranked, placementDepth);
+    auto ids = firstIds(ranked, maxPlacementCandidates);
     const auto mayCompare = view.fingerprint == 0
         || (ids.size() > 1 && drawn.size() > 1 && ids[0] == drawn[0] && ids[1] == drawn[1]);
     if (mayCompare && ids.size() > 1 && ranked[0].otherDataCenter == ranked[1].otherDataCenter)
@@ -157,7 +157,7 @@
     const auto &usable = view.usable;
     const auto preferred = view.tokenUpstream;
     if (std::find(usable.begin(), usable.end(), preferred) == usable.end()
-        || isClearlyOver(view, preferred))
+        || isWellOverBound(view, preferred))
         return ids;
     std::erase(ids, preferred);
     ids.insert(ids.begin(), preferred);
@@ -168,7 +168,7 @@
 
 // A chat leaves the member with its context only when that member would refuse it even if the
 // reported load is somewhat old: a needless move costs a cold start, a needless try one refusal.
-auto isClearlyOver(const PlacementView &view, UpstreamId id) -> bool
+auto isWellOverBound(const PlacementView &view, UpstreamId id) -> bool
 {
     const auto entry = view.loads.find(id, view.now);
     if (!entry || entry->age > maxLoadAge || view.poolLoad.slots == 0)
@@ -176,7 +176,7 @@
     const auto bound = boundOf(view, *entry);
     // Chats may wait at the member that their token names: about as many as its bound allows to
     // run.
-    const auto mayWait = id == view.tokenUpstream && view.pool.homeWait > Duration::zero();
+    const auto mayWait = id == view.tokenUpstream && view.pool.maxOwnerWait > Duration::zero();
     const auto limit = mayWait ? 2 * bound : bound;
     return loadOf(*entry) >= limit + std::max(minExcess, bound / 4);
 }
@@ -194,9 +194,9 @@
         ranked.push_back({otherDataCenter,
                           isTokenUpstream ? -1.0 : weightedScore(member, view.chat), member.id});
     });
-    auto ids = firstIds(ranked, placementDepth);
+    auto ids = firstIds(ranked, maxPlacementCandidates);
     std::stable_partition(ids.begin(), ids.end(),
-                          [&](UpstreamId id) { return !isClearlyOver(view, id); });
+                          [&](UpstreamId id) { return !isWellOverBound(view, id); });
     return ids;
 }
 
@@ -243,7 +243,7 @@
     return ids;
 }
 
-auto chatHome(const Pool &pool, ChatKey chat, std::string_view ownDataCenter) -> UpstreamId
+auto chatOwner(const Pool &pool, ChatKey chat, std::string_view ownDataCenter) -> UpstreamId
 {
     Ranked best;
     for (const auto &member : pool.members) {
--- a/src/core/router-choice.cc
+++ b/src/core/router-choice.cc
@@ -32,7 +32,7 @@
     return view.chat != 0
         && (view.usable.size() < view.pool.members.size()
             || std::any_of(order.begin(), order.end(),
-                           [&](UpstreamId id) { return isClearlyOver(view, id); }));
+                           [&](UpstreamId id) { return isWellOverBound(view, id); }));
 }
 
 } // namespace
@@ -123,11 +123,11 @@
 {
     const auto *member = exchange.pool.member(
         view.tokenUpstream != 0 ? view.tokenUpstream
-                                : chatHome(view.pool, view.chat, view.ownDataCenter));
+                                : chatOwner(view.pool, view.chat, view.ownDataCenter));
     if (member == nullptr || member->id == chosen)
         return;
     auto reason = std::string(obstacle(*member, true, now_));
-    if (reason.empty() && isClearlyOver(view, member->id)) {
+    if (reason.empty() && isWellOverBound(view, member->id)) {
         reason = "over-bound";
         exchange.movedFrom = member->id;
     }
--- a/src/core/router-crashes.cc
+++ b/src/core/router-crashes.cc
@@ -19,14 +19,14 @@
     const auto expiresAt = now + std::min(notice.remaining, lifetime);
     auto &incarnations = entries_[notice.fingerprint];
     const auto same = std::find_if(incarnations.begin(), incarnations.end(),
-                                   [&](const Entry &entry) { return entry.life == notice.life; });
+                                   [&](const Entry &entry) { return entry.life == notice.origin; });
     if (same == incarnations.end()) {
-        incarnations.push_back({notice.life, notice.sequence, expiresAt});
+        incarnations.push_back({notice.origin, notice.sequence, expiresAt});
         return;
     }
     // Passing a notice between processes must not extend its lifetime with each hop.
     if (notice.sequence > same->sequence)
-        *same = {notice.life, notice.sequence, expiresAt};
+        *same = {notice.origin, notice.sequence, expiresAt};
 }
 
 auto CrashTable::expire(Instant now) -> void
@@ -53,9 +53,9 @@
 }
 
 auto CrashTable::incarnationsOf(Fingerprint fingerprint, Instant now) const
-    -> std::vector<UpstreamLife>
+    -> std::vector<UpstreamIncarnation>
 {
-    std::vector<UpstreamLife> incarnations;
+    std::vector<UpstreamIncarnation> incarnations;
     const auto found = entries_.find(fingerprint);
     if (found == entries_.end())
         return incarnations;
--- a/src/core/router-crashes.h
+++ b/src/core/router-crashes.h
@@ -24,7 +24,7 @@
 
     /// The incarnations in which `fingerprint` was running when the upstream crashed; each once.
     [[nodiscard]] auto incarnationsOf(Fingerprint fingerprint, Instant now) const
-        -> std::vector<UpstreamLife>;
+        -> std::vector<UpstreamIncarnation>;
 
     /// Marks `fingerprint` as a suspect because a sidecar reported it as one; its crash notices may
     /// not have arrived yet.
@@ -40,7 +40,7 @@
 private:
     struct Entry
     {
-        UpstreamLife life;
+        UpstreamIncarnation life;
         std::uint32_t sequence = 0;
         Instant expiresAt;
     };
--- a/src/core/router-node.cc
+++ b/src/core/router-node.cc
@@ -97,7 +97,7 @@
 auto RouterNode::State::recentLoads() -> const std::vector<DigestEntry> &
 {
     if (recentLoads_.empty() || now_ - recentLoadsAt_ > limits::poolViewLifetime) {
-        recentLoads_ = loads_.freshest(limits::maxSubmitLoads, now_);
+        recentLoads_ = loads_.newestEntries(limits::maxSubmitLoads, now_);
         recentLoadsAt_ = now_;
     }
     return recentLoads_;
@@ -137,7 +137,7 @@
     return counts;
 }
 
-auto RouterNode::uses(UpstreamId upstream) const -> bool
+auto RouterNode::dependsOn(UpstreamId upstream) const -> bool
 {
     const auto link = state_->links_.find(upstream);
     return link != state_->links_.end() && !link->second.exchanges.empty();
--- a/src/core/router-requests.cc
+++ b/src/core/router-requests.cc
@@ -134,7 +134,7 @@
         acknowledge(*exchange);
 }
 
-auto RouterNode::State::on(CallerGone &event) -> void
+auto RouterNode::State::on(CallerDisconnected &event) -> void
 {
     auto *exchange = find(event.request);
     if (exchange == nullptr || exchange->phase == ExchangePhase::Detached)
--- a/src/core/router-state.h
+++ b/src/core/router-state.h
@@ -2,8 +2,8 @@
 /// them.
 #pragma once
 
-#include "applehatch/core/listening-clock.h"
 #include "applehatch/core/router-node.h"
+#include "applehatch/core/stall-aware-clock.h"
 
 #include "router-budget.h"
 #include "router-crashes.h"
@@ -113,7 +113,7 @@
     // router-requests.cc
     auto on(CallerRequest &event) -> void;
     auto on(CallerConsumed &event) -> void;
-    auto on(CallerGone &event) -> void;
+    auto on(CallerDisconnected &event) -> void;
     auto on(CallerResume &event) -> void;
     [[nodiscard]] auto admit(CallerRequest &event, Exchange &exchange) -> std::optional<Failure>;
     [[nodiscard]] auto checkDeadline(const CallerRequest &event, Exchange &exchange)
@@ -250,7 +250,7 @@
     RouterCounts counts_;
     bool draining_ = false;
     bool drainedReported_ = false;
-    ListeningClock listeningClock_;
+    StallAwareClock listeningClock_;
     Instant lastDigestAt_;
     std::size_t nextDigestPool_ = 0;
 
--- a/src/core/router-tick.cc
+++ b/src/core/router-tick.cc
@@ -7,7 +7,7 @@
 
 auto RouterNode::State::on(Tick & /*event*/) -> void
 {
-    listeningClock_.look(now_);
+    listeningClock_.recordPoll(now_);
     std::vector<RequestId> requests;
     requests.reserve(exchanges_.size());
     for (const auto &[request, exchange] : exchanges_)
@@ -93,7 +93,7 @@
     const auto &asked = *pools[nextDigestPool_++ % pools.size()];
     Digest digest;
     digest.settingsIndex = settings_->index;
-    digest.entries = loads_.freshestOf(asked, {}, limits::maxDigestEntries, now_);
+    digest.entries = loads_.newestEntriesOf(asked, {}, limits::maxDigestEntries, now_);
     digest.crashes = crashes_.notices(limits::maxDigestCrashes, now_);
     digest.wantsReply = true;
     const auto &member = asked.members[random_() % asked.members.size()];
--- a/src/core/router-tickets.cc
+++ b/src/core/router-tickets.cc
@@ -43,13 +43,13 @@
     if (!ticket || ticket->pool != poolName(exchange.terms))
         return Failure{ErrorKind::BadRequest, Run::NotRun, "the ticket is not for this pool",
                        std::nullopt};
-    if (exchange.pool.member(ticket->life.upstream) == nullptr)
+    if (exchange.pool.member(ticket->target.upstream) == nullptr)
         return Failure{ErrorKind::OutcomeUnknown, Run::Unknown,
                        "the ticket's upstream is no longer configured", std::nullopt};
     exchange.terms.runOnce = true;
     exchange.terms.idempotencyKey = ticketKey(*ticket);
-    exchange.boundTo = ticket->life.upstream;
-    exchange.boundIncarnation = ticket->life.incarnation;
+    exchange.boundTo = ticket->target.upstream;
+    exchange.boundIncarnation = ticket->target.incarnation;
     exchange.expires = ticket->expires;
     exchange.cause = "ticket";
     return std::nullopt;
--- a/src/core/settings-replica-table.cc
+++ b/src/core/settings-replica-table.cc
@@ -108,8 +108,8 @@
         if (pull.brief) {
             return pull.since;
         }
-        const auto known = pull.held.find(team);
-        return known == pull.held.end() ? 0 : known->second;
+        const auto known = pull.knownIndices.find(team);
+        return known == pull.knownIndices.end() ? 0 : known->second;
     };
     for (const auto &[team, subtree] : subtrees_) {
         if (subtree.inForce <= knownIndex(team)) {
--- a/src/core/settings-replica.cc
+++ b/src/core/settings-replica.cc
@@ -166,7 +166,7 @@
         actions.emplace_back(AnswerPull{std::move(reply)});
     }
 
-    auto take(const SettingsIndexHeard &event, Instant now) -> void
+    auto take(const SettingsIndexAdvertised &event, Instant now) -> void
     {
         const auto isUnavailable =
             unavailableIndices.count(event.index) != 0 && now < unavailableUntil;
--- a/src/core/sidecar-crashes.cc
+++ b/src/core/sidecar-crashes.cc
@@ -41,7 +41,7 @@
     const auto restarted = !epoch.empty() && epoch != event.epoch;
     epoch = event.epoch;
     if (restarted) {
-        chats.evictedAll();
+        chats.markAllEvicted();
         if (running != 0 || !inPhase(JobPhase::Lost).empty()) {
             declareCrash("restarted");
             cancelRunning();
@@ -108,9 +108,11 @@
 {
     if (job.terms.fingerprint == 0)
         return;
-    crashes.apply(
-        {job.terms.fingerprint, {self, identity.incarnation}, crashSequence, CrashBook::lifetime},
-        now);
+    crashes.apply({job.terms.fingerprint,
+                   {self, identity.incarnation},
+                   crashSequence,
+                   CrashTracker::lifetime},
+                  now);
 }
 
 // The upstream process restarted: runs of the old process will never be answered.
@@ -171,7 +173,7 @@
 // started immediately would crash its own upstream as well.
 auto SidecarNode::State::earliestStart(const Job &job) const -> Instant
 {
-    const auto crashedAt = crashes.lastAt(job.terms.fingerprint, now);
+    const auto crashedAt = crashes.lastCrashAt(job.terms.fingerprint, now);
     const auto waits = crashedAt && pool.members.size() > maxPoolWithoutDelay;
     return waits ? *crashedAt + secondTryDelay : now;
 }
--- a/src/core/sidecar-leaving.cc
+++ b/src/core/sidecar-leaving.cc
@@ -44,9 +44,9 @@
 auto SidecarNode::State::on(const CacheEvents &event) -> void
 {
     for (const auto chat : event.stored)
-        chats.stored(chat, now);
+        chats.markStored(chat, now);
     for (const auto chat : event.evicted)
-        chats.evicted(chat);
+        chats.markEvicted(chat);
     if (event.gap)
         log(LogLine("cache-gap"));
 }
@@ -65,7 +65,7 @@
     }
     leavingSince = now;
     if (pool.kind == settings::PoolKind::Model) {
-        const auto hottest = chats.hottest(maxHandoffs);
+        const auto hottest = chats.mostRecentlyUsed(maxHandoffs);
         handoffs.assign(hottest.begin(), hottest.end());
     }
     handOffNext();
@@ -94,7 +94,7 @@
     if (handoffsOutstanding != 0)
         --handoffsOutstanding;
     if (event.done)
-        chats.moved(event.chat, event.to, now);
+        chats.markMoved(event.chat, event.to, now);
     handOffNext();
     checkDrained();
 }
--- a/src/core/sidecar-links.cc
+++ b/src/core/sidecar-links.cc
@@ -45,7 +45,7 @@
         const auto found = links.find(id);
         if (found == links.end())
             continue;
-        if (stallAwareNow - found->second.lastSignAt >= limits.silence) {
+        if (stallAwareNow - found->second.lastSignAt >= limits.linkTimeout) {
             log(LogLine("link-silent")
                     .add("link", static_cast<std::int64_t>(id))
                     .add("silent_us", Duration(stallAwareNow - found->second.lastSignAt).count()));
--- a/src/core/sidecar-node.cc
+++ b/src/core/sidecar-node.cc
@@ -23,7 +23,7 @@
     , limits(keep)
     , self(settings::upstreamId(identity.team, identity.pool, identity.member))
     , random(identity.seed)
-    , answers({keep.answerBytes, keep.answerBytesEach, keep.answerLifetime})
+    , answers({keep.answerBytes, keep.unacknowledgedBytesPerAnswer, keep.answerLifetime})
     , keys(keep.keys, keep.recordBytes)
     , endedAttempts(keep.tombstones)
     , startedBefore(keep.tombstones)
@@ -73,12 +73,12 @@
     else if (std::holds_alternative<Heartbeat>(message))
         sendClock(event.link);
     else if (const auto *moved = std::get_if<Moved>(&message))
-        chats.moved(moved->chat, moved->holder, now);
+        chats.markMoved(moved->chat, moved->holder, now);
 }
 
 auto SidecarNode::State::on(const Tick & /*event*/) -> void
 {
-    stallAwareClock.look(now);
+    stallAwareClock.recordPoll(now);
     checkLinks();
     checkLostRuns();
     releaseDelayed();
--- a/src/core/sidecar-orders.cc
+++ b/src/core/sidecar-orders.cc
@@ -76,25 +76,25 @@
 auto SidecarNode::State::hasTurn() -> bool
 {
     RolloutView rollout;
-    rollout.width = std::max(1U, pool.rolloutWidth);
+    rollout.maxUnavailable = std::max(1U, pool.rolloutWidth);
     std::uint32_t doublings = 0;
     for (auto reach = pool.members.size(); reach > 1; reach /= 2)
         ++doublings;
-    rollout.step = limits.digestPeriod * (1 + doublings);
+    rollout.delayPerRank = limits.digestInterval * (1 + doublings);
     for (const auto &member : pool.members) {
         if (member.id == self)
             continue;
         rollout.rank += member.id < self ? 1 : 0;
         const auto entry = loads.find(member.id, now);
         const auto serves = entry && entry->state == UpstreamState::Serving;
-        rollout.out += !serves && !isUnlisted(member) ? 1 : 0;
+        rollout.unavailable += !serves && !isUnlisted(member) ? 1 : 0;
     }
-    if (rollout.out >= rollout.width) {
+    if (rollout.unavailable >= rollout.maxUnavailable) {
         quietSince.reset();
         return false;
     }
     quietSince = quietSince.value_or(now);
-    rollout.quiet = now - *quietSince;
+    rollout.belowLimitFor = now - *quietSince;
     return mayBeginRollout(rollout);
 }
 
--- a/src/core/sidecar-plane.cc
+++ b/src/core/sidecar-plane.cc
@@ -38,8 +38,8 @@
     if (!digest.wantsReply)
         return;
     const auto isOtherDataCenter = digest.entries.empty() && !digest.sums.empty();
-    DigestReader recipient;
-    recipient.isNear = !isOtherDataCenter;
+    DigestRecipient recipient;
+    recipient.isSameDataCenter = !isOtherDataCenter;
     recipient.known = digest.entries;
     auto reply = digestFor(recipient);
     if (replies.spend(digestSize(reply), now))
@@ -85,7 +85,7 @@
     entry.waiting = static_cast<std::uint32_t>(queue.size());
     entry.slots = slots;
     entry.state = upstreamState();
-    if (entry == own && ownMadeAt && now - *ownMadeAt < limits.digestPeriod)
+    if (entry == own && ownMadeAt && now - *ownMadeAt < limits.digestInterval)
         return;
     ++entry.version;
     own = entry;
@@ -95,7 +95,7 @@
 
 auto SidecarNode::State::exchangeDigest() -> void
 {
-    if (now - digestAt < limits.digestPeriod)
+    if (now - digestAt < limits.digestInterval)
         return;
     std::vector<const settings::Member *> others;
     for (const auto &member : pool.members) {
@@ -112,7 +112,7 @@
     out.emplace_back(SendDigest{peer.id, std::move(digest)});
 }
 
-auto SidecarNode::State::digestFor(const DigestReader &reader) const -> Digest
+auto SidecarNode::State::digestFor(const DigestRecipient &reader) const -> Digest
 {
     return composeDigest(view(), loads, sums, crashes, reader, now);
 }
--- a/src/core/sidecar-runs.cc
+++ b/src/core/sidecar-runs.cc
@@ -88,7 +88,7 @@
     job->status = event.status;
     job->headers = std::move(event.headers);
     job->warm = event.warm;
-    chats.ran(job->terms.chat, now);
+    chats.markRun(job->terms.chat, now);
     serve(*job);
 }
 
@@ -233,7 +233,7 @@
         auto &job = jobs.at(waiting.id);
         // A running request may end at any moment, so one request ahead is not counted. A stream to
         // be continued has run already, so it must not be reported as "not run" here.
-        if (!job.continued && !canMeet(waiting, queue.ahead(waiting) - 1))
+        if (!job.continued && !canMeet(waiting, queue.countAhead(waiting) - 1))
             fail(job,
                  refusalOf(ErrorKind::DeadlineUnmeetable, Run::NotRun,
                            "overtaken by other requests"),
--- a/src/core/sidecar-state.h
+++ b/src/core/sidecar-state.h
@@ -5,14 +5,14 @@
 #include "applehatch/core/answer-store.h"
 #include "applehatch/core/arrival-rates.h"
 #include "applehatch/core/chat-pointers.h"
-#include "applehatch/core/crash-book.h"
+#include "applehatch/core/crash-tracker.h"
 #include "applehatch/core/expiring-map.h"
 #include "applehatch/core/gossip.h"
-#include "applehatch/core/listening-clock.h"
 #include "applehatch/core/order-plan.h"
 #include "applehatch/core/rendezvous.h"
 #include "applehatch/core/run-once-table.h"
 #include "applehatch/core/sidecar-node.h"
+#include "applehatch/core/stall-aware-clock.h"
 #include "applehatch/core/wait-queue.h"
 
 #include <deque>
@@ -119,7 +119,7 @@
     UpstreamId self = 0;
     Random random;
     Instant now;
-    ListeningClock stallAwareClock;
+    StallAwareClock stallAwareClock;
     Instant stallAwareNow; ///< `now` on the stall-aware clock.
     bool initialized = false;
     Instant initializedAt;
@@ -163,7 +163,7 @@
     LoadTable loads;
     PoolSums sums;
     ReplyBudget replies;
-    CrashBook crashes;
+    CrashTracker crashes;
     ChatPointers chats;
     DigestEntry own;
     std::optional<Instant> ownMadeAt; ///< Without a value, the next refresh makes a new version.
@@ -293,7 +293,7 @@
     auto on(const SettingsInForce &event) -> void;
     auto refreshOwn() -> void;
     auto exchangeDigest() -> void;
-    [[nodiscard]] auto digestFor(const DigestReader &reader) const -> Digest;
+    [[nodiscard]] auto digestFor(const DigestRecipient &reader) const -> Digest;
     auto broadcastCrashes() -> void;
     auto advertiseToSome() -> void;
 
--- a/src/core/sidecar-submit.cc
+++ b/src/core/sidecar-submit.cc
@@ -183,7 +183,7 @@
         return Rejection{refusalOf(ErrorKind::Overloaded, Run::NotRun, "queue is full"), holder,
                          "queue-full"};
     const auto waiting = asWaiting(terms, message.notAfter);
-    if (canMeet(waiting, queue.ahead(waiting)))
+    if (canMeet(waiting, queue.countAhead(waiting)))
         return std::nullopt;
     return Rejection{
         refusalOf(ErrorKind::DeadlineUnmeetable, Run::NotRun, "the queue outlasts the deadline"),
@@ -212,10 +212,10 @@
 {
     const auto &terms = message.terms;
     const auto mean = serviceTime.mean();
-    if (!mean || pool.homeWait <= Duration::zero() || !chats.isWarm(terms.chat, now))
+    if (!mean || pool.maxOwnerWait <= Duration::zero() || !chats.isWarm(terms.chat, now))
         return false;
     const auto places = std::min(slots, runningBound());
-    const auto ahead = queue.ahead(asWaiting(terms, message.notAfter));
+    const auto ahead = queue.countAhead(asWaiting(terms, message.notAfter));
     auto wait = expectedWait({ahead, places}, *mean);
     if (customer != nullptr && customer->inFlightLimit != 0) {
         const auto limit = customer->inFlightLimit;
@@ -224,7 +224,7 @@
             wait =
                 std::max(wait, expectedWait({static_cast<double>(inFlight - limit), limit}, *mean));
     }
-    return wait <= pool.homeWait;
+    return wait <= pool.maxOwnerWait;
 }
 
 auto SidecarNode::State::bound() const -> std::uint32_t
--- a/src/core/token.cc
+++ b/src/core/token.cc
@@ -48,12 +48,12 @@
 
 } // namespace
 
-auto formatContext(const UpstreamLife &context) -> std::string
+auto formatContext(const UpstreamIncarnation &context) -> std::string
 {
     return hex(context.upstream) + separator + hex(context.incarnation);
 }
 
-auto parseContext(std::string_view text) -> std::optional<UpstreamLife>
+auto parseContext(std::string_view text) -> std::optional<UpstreamIncarnation>
 {
     const auto fields = split(text, 2);
     if (fields.empty())
@@ -62,7 +62,7 @@
     const auto incarnation = parseHex(fields[1]);
     if (!upstream || !incarnation)
         return std::nullopt;
-    return UpstreamLife{*upstream, *incarnation};
+    return UpstreamIncarnation{*upstream, *incarnation};
 }
 
 auto formatPosition(const Position &position) -> std::string
@@ -84,7 +84,7 @@
 
 auto formatTicket(const Ticket &ticket) -> std::string
 {
-    return hex(ticket.life.upstream) + separator + hex(ticket.life.incarnation) + separator
+    return hex(ticket.target.upstream) + separator + hex(ticket.target.incarnation) + separator
         + hex(ticket.nonce) + separator
         + hex(static_cast<std::uint64_t>(ticket.expires.time_since_epoch().count())) + separator
         + ticket.pool;
--- a/src/core/wait-queue.cc
+++ b/src/core/wait-queue.cc
@@ -68,7 +68,7 @@
     return true;
 }
 
-auto WaitQueue::ahead(const Waiting &waiting) const -> double
+auto WaitQueue::countAhead(const Waiting &waiting) const -> double
 {
     double before = 0;
     for (const auto &[priority, priorityClass] : classes_) {
--- a/src/direct/context-map.cc
+++ b/src/direct/context-map.cc
@@ -5,7 +5,7 @@
 
 namespace applehatch::direct {
 
-auto ContextMap::put(const ContextPlace &placement, Instant now) -> void
+auto ContextMap::put(const ContextPlacement &placement, Instant now) -> void
 {
     Entry entry;
     if (const auto *known = entries_.find(placement.context, now)) {
@@ -21,11 +21,11 @@
     entries_.put(placement.context, std::move(entry), now + lifetime);
 }
 
-auto ContextMap::noteSent(const ContextPlace &placement, Instant now) -> void
+auto ContextMap::noteSent(const ContextPlacement &placement, Instant now) -> void
 {
     put(placement, now);
     uses_.push_back({placement, now});
-    if (uses_.size() > mostTold)
+    if (uses_.size() > maxReportedUses)
         uses_.pop_front();
 }
 
@@ -46,17 +46,17 @@
         now, [this](const Entry &entry) { tokensAt_[entry.upstreams.front()] += entry.tokens; });
 }
 
-auto ContextMap::notePeer(const std::vector<ContextPlace> &placements, Instant now) -> void
+auto ContextMap::notePeer(const std::vector<ContextPlacement> &placements, Instant now) -> void
 {
     for (const auto &placement : placements)
         put(placement, now);
 }
 
-auto ContextMap::recentUses(Instant now, Duration within) -> std::vector<ContextPlace>
+auto ContextMap::recentUses(Instant now, Duration within) -> std::vector<ContextPlacement>
 {
     while (!uses_.empty() && now - uses_.front().at > std::max(reportWindow, within))
         uses_.pop_front();
-    std::vector<ContextPlace> placements;
+    std::vector<ContextPlacement> placements;
     for (const auto &use : uses_) {
         if (std::find(placements.begin(), placements.end(), use.placement) == placements.end())
             placements.push_back(use.placement);
--- a/src/direct/suspects.cc
+++ b/src/direct/crash-suspects.cc
@@ -1,4 +1,4 @@
-#include "applehatch/direct/suspects.h"
+#include "applehatch/direct/crash-suspects.h"
 
 #include <algorithm>
 
--- a/src/direct/dispatcher.cc
+++ b/src/direct/dispatcher.cc
@@ -37,7 +37,7 @@
 
 } // namespace
 
-Dispatcher::Dispatcher(Self options, RetryLimits retryLimits, Instant startedAt)
+Dispatcher::Dispatcher(DispatcherOptions options, RetryLimits retryLimits, Instant startedAt)
     : options_(std::move(options))
     , randomState_(options_.seed)
     , budget_(retryLimits, startedAt)
@@ -75,7 +75,7 @@
     return found == indexById_.end() ? nullptr : &upstreams_[found->second];
 }
 
-auto Dispatcher::mayTake(UpstreamId id) const -> bool
+auto Dispatcher::acceptsNewRequests(UpstreamId id) const -> bool
 {
     const auto *upstream = findUpstream(id);
     return upstream != nullptr && upstream->state != UpstreamState::Leaving;
@@ -171,7 +171,7 @@
     return usable;
 }
 
-auto Dispatcher::choose(const Permit &permit, const Demand &input, Instant now)
+auto Dispatcher::choose(const Permit &permit, const RoutingInput &input, Instant now)
     -> std::variant<Choice, Failure>
 {
     if (suspects_.isSuspect(input.fingerprint, now))
@@ -190,14 +190,14 @@
     choice.load = loads_.fleetLoad(upstream->id, now);
     const auto decision =
         admission_.decide(admissionRequestOf(permit), {choice.load, upstream->slots});
-    choice.foreseenWait = decision.expectedWait;
+    choice.expectedWait = decision.expectedWait;
     if (!decision.admitted && input.tried.empty())
         return Failure{ErrorKind::Overloaded, Run::NotRun, overloadText(choice, decision),
-                       returnTime(permit, now)};
+                       overloadRetryAfter(permit, now)};
     choice.usable = static_cast<std::uint32_t>(usable.size());
-    choice.heldContext = std::find(holders.begin(), holders.end(), upstream->id) != holders.end();
+    choice.holdsContext = std::find(holders.begin(), holders.end(), upstream->id) != holders.end();
     const auto mayFetch = permit.service != nullptr && permit.service->sharesContexts;
-    if (mayFetch && isModel && !choice.heldContext)
+    if (mayFetch && isModel && !choice.holdsContext)
         choice.fetchFrom = fetchSource(context, upstream->id, usable, now);
     return choice;
 }
@@ -229,13 +229,14 @@
     return std::nullopt;
 }
 
-auto Dispatcher::hasOther(const Permit &permit, const Demand &input, Instant now) const -> bool
+auto Dispatcher::hasUntriedUpstream(const Permit &permit, const RoutingInput &input,
+                                    Instant now) const -> bool
 {
     return !suspects_.isSuspect(input.fingerprint, now)
         && !usableUpstreams(permit, input.tried, now).empty();
 }
 
-auto Dispatcher::noteSent(UpstreamId upstream, const Demand &input, Instant now) -> void
+auto Dispatcher::noteSent(UpstreamId upstream, const RoutingInput &input, Instant now) -> void
 {
     loads_.noteSent(upstream);
     if (input.prompt.empty())
@@ -265,7 +266,7 @@
     return {permit.serviceName, permit.customer, permit.priority, route.priority, route.objective};
 }
 
-auto Dispatcher::returnTime(const Permit &permit, Instant now) -> Duration
+auto Dispatcher::overloadRetryAfter(const Permit &permit, Instant now) -> Duration
 {
     constexpr auto range = static_cast<double>(std::numeric_limits<std::uint64_t>::max());
     return admission_.retryAfter(admissionRequestOf(permit), static_cast<double>(draw()) / range,
--- a/src/direct/load-book.cc
+++ b/src/direct/load-tracker.cc
@@ -1,4 +1,4 @@
-#include "applehatch/direct/load-book.h"
+#include "applehatch/direct/load-tracker.h"
 
 #include <algorithm>
 
--- a/src/direct/reader-book.cc
+++ b/src/direct/reader-tracker.cc
@@ -1,4 +1,4 @@
-#include "applehatch/direct/reader-book.h"
+#include "applehatch/direct/reader-tracker.h"
 
 #include "applehatch/direct/registry-readers.h"
 
@@ -10,7 +10,7 @@
 namespace {
 
 // An answer may come this much too early or too late without an extra call to correct its timing.
-constexpr Duration tolerance = ReaderBook::watchPeriod / 12;
+constexpr Duration tolerance = ReaderTracker::watchTimeout / 12;
 
 } // namespace
 
@@ -19,25 +19,26 @@
     return core::stableHash(router.ip + ':' + std::to_string(router.port));
 }
 
-ReaderBook::ReaderBook(Address self, std::uint64_t firstHeartbeat)
+ReaderTracker::ReaderTracker(Address self, std::uint64_t firstHeartbeat)
     : self_(std::move(self))
     , ownHeartbeat_(firstHeartbeat)
 { }
 
-auto ReaderBook::beat(Instant now) -> void
+auto ReaderTracker::noteAnswer(Instant now) -> void
 {
     ++ownHeartbeat_;
     ownAnsweredAt_ = now;
 }
 
-auto ReaderBook::ownWord(std::uint64_t revision, Instant now) const -> std::optional<ReaderWord>
+auto ReaderTracker::ownStatus(std::uint64_t revision, Instant now) const
+    -> std::optional<ReaderStatus>
 {
-    if (!ownAnsweredAt_ || now - *ownAnsweredAt_ > trustedFor)
+    if (!ownAnsweredAt_ || now - *ownAnsweredAt_ > statusLifetime)
         return std::nullopt;
-    return ReaderWord{self_, ownHeartbeat_, revision, now - *ownAnsweredAt_};
+    return ReaderStatus{self_, ownHeartbeat_, revision, now - *ownAnsweredAt_};
 }
 
-auto ReaderBook::note(const ReaderWord &status, Instant now) -> void
+auto ReaderTracker::note(const ReaderStatus &status, Instant now) -> void
 {
     if (status.router == self_)
         return;
@@ -47,7 +48,7 @@
     auto &entry = entries_[readerRank(status.router)];
     // A new process that started after the time of day was set back has a lower heartbeat.
     const auto isNewIncarnation = status.heartbeat < entry.status.heartbeat
-        && status.age < trustedFor && now - entry.answeredAt > trustedFor;
+        && status.age < statusLifetime && now - entry.answeredAt > statusLifetime;
     if (status.heartbeat > entry.status.heartbeat || isNewIncarnation) {
         const auto isKnown = entry.status.heartbeat > 0;
         entry = {status, now - status.age, false};
@@ -59,14 +60,14 @@
     }
 }
 
-auto ReaderBook::noteStopped(const Address &router) -> void
+auto ReaderTracker::noteStopped(const Address &router) -> void
 {
     const auto found = entries_.find(readerRank(router));
     if (found != entries_.end())
         found->second.stopped = true;
 }
 
-auto ReaderBook::setAsideWhenQuiet(Duration limit, Instant now) -> bool
+auto ReaderTracker::distrustWhenSilent(Duration limit, Instant now) -> bool
 {
     const auto latest = latestAnswer();
     const auto isNewer = latest && latest != silentSince_;
@@ -76,9 +77,9 @@
     return true;
 }
 
-auto ReaderBook::readers(Instant now) const -> std::vector<ReaderWord>
+auto ReaderTracker::readers(Instant now) const -> std::vector<ReaderStatus>
 {
-    std::vector<ReaderWord> statuses;
+    std::vector<ReaderStatus> statuses;
     for (const auto &[rank, entry] : entries_) {
         if (!isTrusted(entry, now))
             continue;
@@ -88,22 +89,23 @@
     return statuses;
 }
 
-auto ReaderBook::told(std::optional<ReaderWord> own, Instant now) const -> std::vector<ReaderWord>
+auto ReaderTracker::reportedStatuses(std::optional<ReaderStatus> own, Instant now) const
+    -> std::vector<ReaderStatus>
 {
     auto statuses = readers(now);
-    statuses.resize(std::min(statuses.size(), RegistryReaders::wanted));
+    statuses.resize(std::min(statuses.size(), RegistryReaders::targetReaders));
     if (own)
         statuses.push_back(std::move(*own));
     return statuses;
 }
 
-auto ReaderBook::sinceAnswer(Instant now) const -> std::optional<Duration>
+auto ReaderTracker::timeSinceAnswer(Instant now) const -> std::optional<Duration>
 {
     const auto latest = latestAnswer();
     return latest ? std::optional<Duration>(now - *latest) : std::nullopt;
 }
 
-auto ReaderBook::nextWatch(Instant now) const -> Duration
+auto ReaderTracker::nextWatchTimeout(Instant now) const -> Duration
 {
     std::optional<Instant> leaderAnsweredAt; // The reader of lowest rank sets the schedule.
     std::size_t lowerRanks = 0;
@@ -119,16 +121,17 @@
         if (!leaderAnsweredAt)
             leaderAnsweredAt = entry.answeredAt;
     }
-    if (!leaderAnsweredAt || lowerRanks >= RegistryReaders::wanted)
-        return watchPeriod;
-    const auto turns = static_cast<Duration::rep>(std::min(readers, RegistryReaders::wanted));
-    const auto ownOffset = watchPeriod * static_cast<Duration::rep>(lowerRanks) / turns;
-    const auto sinceOwnTurn = (now - *leaderAnsweredAt + watchPeriod - ownOffset) % watchPeriod;
-    const auto wait = watchPeriod - sinceOwnTurn;
-    return wait < tolerance ? wait + watchPeriod : wait;
+    if (!leaderAnsweredAt || lowerRanks >= RegistryReaders::targetReaders)
+        return watchTimeout;
+    const auto turns =
+        static_cast<Duration::rep>(std::min(readers, RegistryReaders::targetReaders));
+    const auto ownOffset = watchTimeout * static_cast<Duration::rep>(lowerRanks) / turns;
+    const auto sinceOwnTurn = (now - *leaderAnsweredAt + watchTimeout - ownOffset) % watchTimeout;
+    const auto wait = watchTimeout - sinceOwnTurn;
+    return wait < tolerance ? wait + watchTimeout : wait;
 }
 
-auto ReaderBook::latestAnswer() const -> std::optional<Instant>
+auto ReaderTracker::latestAnswer() const -> std::optional<Instant>
 {
     auto latest = ownAnsweredAt_;
     for (const auto &[rank, entry] : entries_) {
@@ -138,10 +141,10 @@
     return latest;
 }
 
-auto ReaderBook::isTrusted(const Entry &entry, Instant now) const -> bool
+auto ReaderTracker::isTrusted(const Entry &entry, Instant now) const -> bool
 {
     const auto isDistrusted = silentSince_ && entry.answeredAt <= *silentSince_;
-    return !entry.stopped && !isDistrusted && now - entry.answeredAt <= trustedFor;
+    return !entry.stopped && !isDistrusted && now - entry.answeredAt <= statusLifetime;
 }
 
 } // namespace applehatch::direct
--- a/src/direct/registry-readers.cc
+++ b/src/direct/registry-readers.cc
@@ -10,11 +10,11 @@
         ranks.begin(), ranks.end(), [this](std::uint64_t rank) { return rank < ownRank_; }));
 }
 
-auto RegistryReaders::decide(const HeardRanks &heard, Instant now) -> bool
+auto RegistryReaders::decide(const PeerRanks &heard, Instant now) -> bool
 {
-    const auto steps = static_cast<Duration::rep>(countLower(heard.alive) / wanted);
+    const auto steps = static_cast<Duration::rep>(countLower(heard.alive) / targetReaders);
     delay_ = std::min(maxTakeoverDelay, steps * takeoverStep);
-    if (countLower(heard.reading) < wanted) {
+    if (countLower(heard.reading) < targetReaders) {
         redundantSince_.reset();
         if (!shortageSince_)
             shortageSince_ = now;
--- a/src/direct/registry-replica.cc
+++ b/src/direct/registry-replica.cc
@@ -64,7 +64,7 @@
     return changed;
 }
 
-auto RegistryReplica::apply(const RegistryNews &delta, Instant now) -> bool
+auto RegistryReplica::apply(const RegistryDelta &delta, Instant now) -> bool
 {
     if (delta.since > revision_ || delta.revision <= revision_)
         return false;
@@ -114,10 +114,10 @@
         > 0;
 }
 
-auto RegistryReplica::newsSince(std::uint64_t revision) const -> RegistryNews
+auto RegistryReplica::deltaSince(std::uint64_t revision) const -> RegistryDelta
 {
     const auto isKnown = revision > 0 && revision >= historySince_ && revision <= revision_;
-    RegistryNews delta{isKnown ? revision : 0, revision_, {}};
+    RegistryDelta delta{isKnown ? revision : 0, revision_, {}};
     for (const auto &[key, entry] : items_) {
         if (!entry.doubtfulUntil && entry.revision > delta.since)
             delta.changes.push_back({{key, entry.value, entry.revision}, false});
--- a/src/direct/stream-pace.cc
+++ b/src/direct/stream-duration-estimator.cc
@@ -1,10 +1,10 @@
-#include "applehatch/direct/stream-pace.h"
+#include "applehatch/direct/stream-duration-estimator.h"
 
 #include <algorithm>
 
 namespace applehatch::direct {
 
-auto StreamPace::noteStream(std::uint32_t maxTokens, Duration duration) -> void
+auto StreamDurationEstimator::noteStream(std::uint32_t maxTokens, Duration duration) -> void
 {
     if (maxTokens < minTokens)
         return;
@@ -13,7 +13,7 @@
     slowestTokenMs_ = std::max(timePerToken, decayPerStream * slowestTokenMs_);
 }
 
-auto StreamPace::endsWithin(std::uint32_t maxTokens, Duration remaining) const -> bool
+auto StreamDurationEstimator::endsWithin(std::uint32_t maxTokens, Duration remaining) const -> bool
 {
     if (maxTokens == 0)
         return false;
--- a/src/experiment/experiment-plan.cc
+++ b/src/experiment/experiment-plan.cc
@@ -82,7 +82,7 @@
     readWhole(reader, "slots", Need::Optional, {1, mostSlots}, into.slots);
     readWhole(reader, "cacheChats", Need::Required, {1, mostBytes}, into.cacheChats);
     readPause(reader, "coldPrefillMs", into.coldPrefill);
-    reader.real("tokensPerSecond", {0.1, 10000.0}, into.tokensPerSecond);
+    reader.number("tokensPerSecond", {0.1, 10000.0}, into.tokensPerSecond);
     if (const auto *pool = reader.object("pool", Need::Optional)) {
         into.pool.update(*pool);
     }
@@ -99,7 +99,7 @@
         kinds.push_back(name);
     }
     ObjectReader reader(value, path, report);
-    reader.real("at", shareRange, step.at);
+    reader.number("at", shareRange, step.at);
     reader.text("kind", Need::Required, oneOf(kinds), kind);
     reader.refuseUnknown();
     if (const auto found = churnKinds().find(kind); found != churnKinds().end()) {
--- a/src/experiment/workload-reader.cc
+++ b/src/experiment/workload-reader.cc
@@ -29,7 +29,7 @@
     ObjectReader priorities(*value, reader.path("priorities"), report);
     for (const auto &customer : into.customers.items()) {
         std::uint32_t priority = 0;
-        priorities.whole(customer.key(), Need::Optional, {0, mostPriority}, priority);
+        priorities.integer(customer.key(), Need::Optional, {0, mostPriority}, priority);
         into.priorities[customer.key()] = static_cast<int>(priority);
     }
     priorities.refuseUnknown();
@@ -40,9 +40,9 @@
     Surge surge;
     ObjectReader reader(value, path, report);
     reader.text("customer", Need::Required, settings::nameRule(), surge.customer);
-    reader.real("from", shareRange, surge.from);
-    reader.real("until", shareRange, surge.until);
-    reader.real("factor", {1.0, 100.0}, surge.factor);
+    reader.number("from", shareRange, surge.from);
+    reader.number("until", shareRange, surge.until);
+    reader.number("factor", {1.0, 100.0}, surge.factor);
     reader.refuseUnknown();
     if (!surge.customer.empty() && !into.customers.contains(surge.customer)) {
         report.add(reader.path("customer"), "a customer of this plan",
@@ -73,8 +73,8 @@
         double weight = 1;
         std::uint32_t limit = 0;
         ObjectReader reader(customer.value(), path, report);
-        reader.real("weight", {0.001, 1000.0}, weight);
-        reader.whole("inFlightLimit", Need::Optional, {0, 100000}, limit);
+        reader.number("weight", {0.001, 1000.0}, weight);
+        reader.integer("inFlightLimit", Need::Optional, {0, 100000}, limit);
         reader.refuseUnknown();
         into.customers[customer.key()] = {{"weight", weight}, {"inFlightLimit", limit}};
     }
@@ -95,10 +95,10 @@
     readWhole(reader, "chatsAtOnce", Need::Required, {1, mostChats}, into.chatsAtOnce);
     readPause(reader, "shortPauseMs", into.shortPause);
     readPause(reader, "longPauseMs", into.longPause);
-    reader.real("longPauseShare", shareRange, into.longPauseShare);
-    reader.real("furtherTurn", shareRange, into.furtherTurn);
+    reader.number("longPauseShare", shareRange, into.longPauseShare);
+    reader.number("furtherTurn", shareRange, into.furtherTurn);
     readPause(reader, "deadlineMs", into.deadline);
-    reader.real("callsPerSecond", {0.0, 100.0}, into.callsPerSecond);
+    reader.number("callsPerSecond", {0.0, 100.0}, into.callsPerSecond);
     readPriorities(reader, report, into);
     reader.refuseUnknown();
 }
@@ -114,7 +114,7 @@
 {
     std::uint32_t seconds = 0;
     const Wholes range{static_cast<std::uint32_t>(least.count()), mostSeconds};
-    root.whole("seconds", Need::Required, range, seconds);
+    root.integer("seconds", Need::Required, range, seconds);
     into = std::chrono::seconds(seconds);
 }
 
--- a/src/experiment/workload-reader.h
+++ b/src/experiment/workload-reader.h
@@ -29,7 +29,7 @@
                settings::Range<std::uint32_t> range, Number &into) -> void
 {
     auto value = static_cast<std::uint32_t>(into);
-    reader.whole(key, need, range, value);
+    reader.integer(key, need, range, value);
     into = static_cast<Number>(value);
 }
 
--- a/src/gateway/event-cutter.cc
+++ b/src/gateway/event-splitter.cc
@@ -1,4 +1,4 @@
-#include "applehatch/gateway/event-cutter.h"
+#include "applehatch/gateway/event-splitter.h"
 
 #include <charconv>
 
--- a/src/gateway/exchange-answer.cc
+++ b/src/gateway/exchange-answer.cc
@@ -1,7 +1,7 @@
 // Handling of an upstream's answer.
 #include "applehatch/gateway/exchange.h"
 
-#include "onward.h"
+#include "forwarded-message.h"
 #include "status.h"
 
 #include "applehatch/telemetry/clock.h"
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -110,7 +110,7 @@
         report_.contextTokens = shared.tokens;
     }
     if (const auto *tokens = request_.headers.find(environment_.vocabulary->tokens))
-        maxTokens_ = environment_.vocabulary->readMostTokens(*tokens);
+        maxTokens_ = environment_.vocabulary->readMaxTokens(*tokens);
     const auto *credentials = request_.headers.find("Authorization");
     auto fingerprintText = request_.method + ' ' + request_.target + '\n';
     fingerprintText += credentials == nullptr ? std::string() : *credentials;
@@ -140,7 +140,7 @@
     report_.upstream = attempt_.choice.upstream.instance;
     report_.upstreamLoad = attempt_.choice.load;
     report_.usable = attempt_.choice.usable;
-    report_.heldContext = attempt_.choice.heldContext;
+    report_.heldContext = attempt_.choice.holdsContext;
     const auto &from = attempt_.choice.fetchFrom;
     report_.fetchedFrom = from ? from->ip + ':' + std::to_string(from->port) : std::string();
     environment_.pool->acquire(attempt_.choice.upstream.address,
@@ -153,7 +153,8 @@
 auto Exchange::retry(const std::string &why) -> bool
 {
     const auto mayTry = timeLeft() > Duration(0) && sent_ < permit_.route->attempts;
-    if (!mayTry || !environment_.dispatcher->hasOther(permit_, demand_, telemetry::steadyNow()))
+    if (!mayTry
+        || !environment_.dispatcher->hasUntriedUpstream(permit_, demand_, telemetry::steadyNow()))
         return false;
     if (!environment_.dispatcher->takeRetry(permit_, telemetry::steadyNow())) {
         environment_.note(id_, "retry-denied", "retry budget exhausted: " + why);
@@ -182,7 +183,7 @@
             environment_.pool->release(attempt_.choice.upstream.address, connection);
         return;
     }
-    if (connection && environment_.dispatcher->mayTake(attempt_.choice.upstream.id)) {
+    if (connection && environment_.dispatcher->acceptsNewRequests(attempt_.choice.upstream.id)) {
         attempt_.connection = connection;
         return sendRequest();
     }
@@ -211,7 +212,7 @@
     attempt_.sent = true;
     attempt_.sentAt = telemetry::steadyNow();
     environment_.dispatcher->noteSent(attempt_.choice.upstream.id, demand_, attempt_.sentAt);
-    environment_.dispatcher->noteTaken(permit_);
+    environment_.dispatcher->noteAdmissionStart(permit_);
     AnswerHooks hooks;
     const auto self = shared_from_this();
     hooks.head = [self](ResponseHead &head) { self->onHead(head); };
@@ -233,8 +234,8 @@
         return;
     const auto &route = *permit_.route;
     const auto relaying = phase_ == Phase::Relaying && events_.events() > 0;
-    const auto usual = relaying && route.eventPause > Duration(0)
-        ? route.eventPause * silenceTimeoutInPauses
+    const auto usual = relaying && route.maxEventGap > Duration(0)
+        ? route.maxEventGap * silenceTimeoutInPauses
         : route.objective * silenceTimeoutInObjectives;
     const auto wait = std::clamp<Duration>(usual, minSilenceTimeout, maxSilenceTimeout);
     runSilenceTimer((wait - finalSilenceStep) / silenceSteps, silenceSteps);
@@ -284,7 +285,7 @@
     if (phase_ == Phase::Ended || !attempt_.sent)
         return;
     const auto canMove = sent_ < permit_.route->attempts
-        && environment_.dispatcher->hasOther(permit_, demand_, telemetry::steadyNow());
+        && environment_.dispatcher->hasUntriedUpstream(permit_, demand_, telemetry::steadyNow());
     if (!canMove || !environment_.dispatcher->takeRetry(permit_, telemetry::steadyNow()))
         return; // The upstream may still answer.
     noteOutcome(Outcome::Failed);
@@ -327,9 +328,9 @@
     const auto now = telemetry::steadyNow();
     std::optional<Duration> serviceTime;
     if (attempt_.served)
-        serviceTime = std::max(Duration(0), now - attempt_.sentAt - attempt_.choice.foreseenWait);
+        serviceTime = std::max(Duration(0), now - attempt_.sentAt - attempt_.choice.expectedWait);
     environment_.dispatcher->noteDone(attempt_.choice.upstream.id);
-    environment_.dispatcher->noteLeft(permit_, serviceTime, now);
+    environment_.dispatcher->noteAdmissionEnd(permit_, serviceTime, now);
 }
 
 auto Exchange::onCallerDisconnected() -> void
@@ -367,7 +368,7 @@
     report_.status = head.status;
     auto retryAfter = failure.retryAfter;
     if (!retryAfter && failure.kind == ErrorKind::Overloaded)
-        retryAfter = environment_.dispatcher->returnTime(permit_, telemetry::steadyNow());
+        retryAfter = environment_.dispatcher->overloadRetryAfter(permit_, telemetry::steadyNow());
     if (retryAfter)
         head.headers.add("Retry-After", secondsText(*retryAfter));
     if (!id_.empty())
--- a/src/gateway/onward.cc
+++ b/src/gateway/forwarded-message.cc
@@ -1,4 +1,4 @@
-#include "onward.h"
+#include "forwarded-message.h"
 
 #include "applehatch/gateway/exchange.h"
 
@@ -48,7 +48,7 @@
 auto Exchange::upstreamText() const -> std::string
 {
     const auto &vocabulary = *environment_.vocabulary;
-    auto dropped = hopByHopHeaders(request_.headers, vocabulary.kept);
+    auto dropped = hopByHopHeaders(request_.headers, vocabulary.endToEnd);
     dropped.insert(dropped.end(), vocabulary.routerOnly.begin(), vocabulary.routerOnly.end());
     for (const auto *own : {"Authorization", "Content-Length", "Expect"})
         dropped.emplace_back(own);
--- a/src/gateway/gateway-host.cc
+++ b/src/gateway/gateway-host.cc
@@ -80,7 +80,7 @@
     , mesh_(loop, pool_, settings_.peers,
             {[this](PeerDigest &digest) { fillDigest(digest); },
              [this](const PeerDigest &digest) { onPeerDigest(digest); },
-             [this](const direct::RegistryNews &delta) { onPeerDelta(delta); },
+             [this](const direct::RegistryDelta &delta) { onPeerDelta(delta); },
              [this](const std::string &event, const std::string &peer) {
                  metrics_.noteEvent(event);
                  log(LogLine(event).add("peer", peer));
@@ -160,8 +160,8 @@
 {
     settings_.seeds = settings.seeds;
     settings_.retries = settings.retries;
-    settings_.stopWithin = settings.stopWithin;
-    settings_.changeWithin = settings.changeWithin;
+    settings_.stopTimeout = settings.stopTimeout;
+    settings_.maxPropagationTime = settings.maxPropagationTime;
     settings_.loadBound = settings.loadBound;
     mesh_.setSeeds(settings_.seeds);
     dispatcher_.setRetryLimits(settings_.retries);
@@ -259,16 +259,16 @@
     const auto now = steadyNow();
     digest.revision = replica_.revision();
     digest.leaving = stopRequestedAt_.has_value();
-    const auto &tracker = mesh_.readerBook();
-    const auto own = isActiveReader() ? tracker.ownWord(digest.revision, now) : std::nullopt;
-    digest.readers = tracker.told(own, now);
+    const auto &tracker = mesh_.readerTracker();
+    const auto own = isActiveReader() ? tracker.ownStatus(digest.revision, now) : std::nullopt;
+    digest.readers = tracker.reportedStatuses(own, now);
     if (digest.brief)
         return;
     digest.loads = dispatcher_.loads().ownLoads();
     digest.crashes = dispatcher_.suspects().ownCounts(now);
     // A peer receives a digest only once per round, so the uses of a whole round are included.
-    digest.contexts =
-        dispatcher_.contexts().recentUses(now, mesh_.table().round(now) + PeerMesh::digestInterval);
+    digest.contexts = dispatcher_.contexts().recentUses(
+        now, mesh_.table().roundDuration(now) + PeerMesh::digestInterval);
 }
 
 auto GatewayHost::tick() -> void
@@ -277,7 +277,7 @@
     const auto wasStalled = noteStall(now);
     if (replica_.expire(now))
         applyRegistry();
-    dispatcher_.loads().setPeerLifetime(mesh_.table().believedFor(now));
+    dispatcher_.loads().setPeerLifetime(mesh_.table().currentAliveTimeout(now));
     dispatcher_.loads().expire(now);
     dispatcher_.contexts().expire(now);
     dispatcher_.setRouters(mesh_.table().routers(now));
@@ -327,7 +327,7 @@
     // another router is ready they accept none, so as to exit sooner.
     if (hasReadyPeer(now))
         return Duration(0);
-    return *stopRequestedAt_ + settings_.stopWithin - killMargin - now;
+    return *stopRequestedAt_ + settings_.stopTimeout - killMargin - now;
 }
 
 auto GatewayHost::hasReadyPeer(Instant now) const -> bool
@@ -342,7 +342,7 @@
     if (since >= idleCloseDelay)
         callers_->retire(true);
     const auto idle = inFlight_ == 0 && since >= minStopTime;
-    const auto outOfTime = since >= settings_.stopWithin - killMargin;
+    const auto outOfTime = since >= settings_.stopTimeout - killMargin;
     if (!idle && !outOfTime)
         return;
     log(LogLine("stopped").add("inFlight", static_cast<std::int64_t>(inFlight_)));
--- a/src/gateway/gateway-registry.cc
+++ b/src/gateway/gateway-registry.cc
@@ -27,7 +27,7 @@
         && lastDelta_.revision == replica_.revision();
     if (!isCached)
         lastDelta_ = {peerRevision, replica_.revision(),
-                      encodeNews(replica_.newsSince(peerRevision))};
+                      encodeDelta(replica_.deltaSince(peerRevision))};
     return lastDelta_.text;
 }
 
@@ -56,7 +56,7 @@
 auto GatewayHost::registryAnswered() -> void
 {
     registryRegained();
-    mesh_.readerBook().beat(steadyNow());
+    mesh_.readerTracker().noteAnswer(steadyNow());
     // If no reader was known, all peers are notified; otherwise the next router in rank would start
     // reading as well.
     if (std::exchange(reportNextAnswer_, false))
@@ -65,9 +65,9 @@
         mesh_.advertiseToSome();
 }
 
-auto GatewayHost::nextWatch() const -> Duration
+auto GatewayHost::nextWatchTimeout() const -> Duration
 {
-    return mesh_.table().readerBook().nextWatch(steadyNow());
+    return mesh_.table().readerBook().nextWatchTimeout(steadyNow());
 }
 
 auto GatewayHost::registryRegained() -> void
@@ -93,7 +93,7 @@
     }
     logUpstreamChanges(decoded.upstreams);
     dispatcher_.setUpstreams(std::move(decoded.upstreams));
-    if (isActiveReader() && !readers_.isSpare())
+    if (isActiveReader() && !readers_.isRedundant())
         mesh_.advertiseToAll();
     releaseEarly(steadyNow());
 }
@@ -163,8 +163,8 @@
 auto GatewayHost::updateReaderRole(Instant now) -> void
 {
     noteRegistrySilence(now);
-    direct::HeardRanks heard;
-    for (const auto &reader : mesh_.readerBook().readers(now))
+    direct::PeerRanks heard;
+    for (const auto &reader : mesh_.readerTracker().readers(now))
         heard.reading.push_back(direct::readerRank(reader.router));
     for (const auto &peer : mesh_.table().alive(now))
         heard.alive.push_back(PeerTable::rankOf(peer.address));
@@ -183,9 +183,9 @@
 
 auto GatewayHost::noteRegistrySilence(Instant now) -> void
 {
-    const auto limit = direct::RegistryReaders::quietFor(settings_.changeWithin);
+    const auto limit = direct::RegistryReaders::maxSilence(settings_.maxPropagationTime);
     // A reader notices a silent registry by its own requests.
-    if (readers_.reads() || !mesh_.readerBook().setAsideWhenQuiet(limit, now))
+    if (readers_.reads() || !mesh_.readerTracker().distrustWhenSilent(limit, now))
         return;
     metrics_.noteEvent("registry-quiet");
     log(LogLine("registry-quiet").add("sinceAnswerMs", sinceAnswerMs(now)));
@@ -204,11 +204,11 @@
 auto GatewayHost::sinceAnswerMs(Instant now) const -> std::int64_t
 {
     constexpr std::int64_t never = -1;
-    const auto since = mesh_.table().readerBook().sinceAnswer(now);
+    const auto since = mesh_.table().readerBook().timeSinceAnswer(now);
     return since ? std::chrono::duration_cast<std::chrono::milliseconds>(*since).count() : never;
 }
 
-auto GatewayHost::onPeerDelta(const direct::RegistryNews &delta) -> void
+auto GatewayHost::onPeerDelta(const direct::RegistryDelta &delta) -> void
 {
     const auto before = replica_.revision();
     // A killed and restarted peer may have lost the revision that it advertised. It is asked again
--- a/src/gateway/peer-digest.cc
+++ b/src/gateway/peer-digest.cc
@@ -108,7 +108,7 @@
 {
     PeerDigest digest;
     digest.sender = read(from.getSender());
-    digest.life = from.getLife();
+    digest.incarnation = from.getLife();
     digest.sequence = from.getSequence();
     digest.revision = from.getRevision();
     digest.leaving = from.getLeaving();
@@ -129,9 +129,9 @@
     return digest;
 }
 
-auto readDelta(schema::News::Reader from) -> direct::RegistryNews
+auto readDelta(schema::News::Reader from) -> direct::RegistryDelta
 {
-    direct::RegistryNews delta;
+    direct::RegistryDelta delta;
     delta.since = from.getSince();
     delta.revision = from.getRevision();
     for (const auto item : from.getChanges()) {
@@ -160,7 +160,7 @@
     capnp::MallocMessageBuilder message;
     auto root = message.initRoot<schema::PeerDigest>();
     write(root.initSender(), digest.sender);
-    root.setLife(digest.life);
+    root.setLife(digest.incarnation);
     root.setSequence(digest.sequence);
     root.setRevision(digest.revision);
     root.setLeaving(digest.leaving);
@@ -206,7 +206,7 @@
     return fault == nullptr ? digest : std::nullopt;
 }
 
-auto encodeNews(const direct::RegistryNews &delta) -> std::string
+auto encodeDelta(const direct::RegistryDelta &delta) -> std::string
 {
     capnp::MallocMessageBuilder message;
     auto root = message.initRoot<schema::News>();
@@ -225,13 +225,13 @@
     return compressed(bytesOf(message));
 }
 
-auto decodeNews(std::string_view bytes) -> std::optional<direct::RegistryNews>
+auto decodeDelta(std::string_view bytes) -> std::optional<direct::RegistryDelta>
 {
     const auto plain = decompressed(bytes);
     if (!plain)
         return std::nullopt;
     const auto words = wordsOf(*plain);
-    std::optional<direct::RegistryNews> delta;
+    std::optional<direct::RegistryDelta> delta;
     const auto fault = kj::runCatchingExceptions([&] {
         capnp::FlatArrayMessageReader reader(words, readerOptions());
         delta = readDelta(reader.getRoot<schema::News>());
--- a/src/gateway/peer-mesh.cc
+++ b/src/gateway/peer-mesh.cc
@@ -92,7 +92,7 @@
     const auto now = telemetry::steadyNow();
     PeerDigest digest;
     digest.sender = self_;
-    digest.life = incarnation_;
+    digest.incarnation = incarnation_;
     digest.sequence = ++sequence_;
     digest.brief = brief;
     hooks_.fill(digest);
@@ -114,7 +114,7 @@
 auto PeerMesh::advertiseToSome() -> void
 {
     if (socket_.is_open())
-        send(true, table_.nextTold(telemetry::steadyNow()));
+        send(true, table_.nextBriefTargets(telemetry::steadyNow()));
 }
 
 auto PeerMesh::noteLiveness(Instant now) -> void
@@ -158,7 +158,7 @@
     };
     for (const auto &row : table_.alive(now))
         consider(row.address, row.revision);
-    for (const auto &reader : table_.readerBook().readers(now))
+    for (const auto &reader : table_.readerTracker().readers(now))
         consider(reader.router, reader.revision);
     if (peers.empty())
         return std::nullopt;
@@ -209,7 +209,7 @@
     hooks.done = [this, peer, body] {
         if (const auto whole = finishFetch())
             pool_.release(peer, whole);
-        if (const auto delta = decodeNews(*body))
+        if (const auto delta = decodeDelta(*body))
             return hooks_.deltaReceived(*delta);
         hooks_.note("peer-fetch-failed", keyOf(peer) + " invalid response");
     };
--- a/src/gateway/peer-table.cc
+++ b/src/gateway/peer-table.cc
@@ -59,12 +59,12 @@
     // A lower incarnation is a late datagram of an earlier process, or the time of day was set
     // back.
     const auto isFromEarlierIncarnation =
-        digest.life < row.incarnation && now - row.heardAt <= aliveFor;
-    const auto isOld = digest.life == row.incarnation && digest.sequence <= row.sequence;
+        digest.incarnation < row.incarnation && now - row.heardAt <= aliveTimeout;
+    const auto isOld = digest.incarnation == row.incarnation && digest.sequence <= row.sequence;
     if (isFromEarlierIncarnation || isOld)
         return false;
-    row = {digest.sender,  digest.life, digest.sequence,   digest.revision,
-           digest.leaving, now,         listening_.at(now)};
+    row = {digest.sender, digest.incarnation, digest.sequence, digest.revision, digest.leaving,
+           now,           listening_.at(now)};
     advertised_.erase(keyOf(digest.sender));
     for (const auto &member : digest.members) {
         if (member != self_ && !peers_.contains(keyOf(member)))
@@ -90,7 +90,7 @@
 
 auto PeerTable::members(Instant now) const -> std::vector<Address>
 {
-    const auto limit = std::max(memberLifetime, 3 * believedFor(now));
+    const auto limit = std::max(memberLifetime, 3 * currentAliveTimeout(now));
     std::vector<Address> members;
     for (const auto &[key, row] : peers_) {
         if (wasHeardWithin(row, limit, now))
@@ -118,23 +118,23 @@
 
 auto PeerTable::nextTargets(Instant now) -> std::vector<Address>
 {
-    listening_.look(now);
+    listening_.recordPoll(now);
     return takeRoundRobin(targets(now), fanout, targetOffset_);
 }
 
-auto PeerTable::nextTold(Instant now) -> std::vector<Address>
+auto PeerTable::nextBriefTargets(Instant now) -> std::vector<Address>
 {
     return takeRoundRobin(targets(now), fanout, briefTargetOffset_);
 }
 
 auto PeerTable::nextMembers(Instant now) -> std::vector<Address>
 {
-    return takeRoundRobin(members(now), mostMembers, memberOffset_);
+    return takeRoundRobin(members(now), maxMembersPerDigest, memberOffset_);
 }
 
 auto PeerTable::alive(Instant now) const -> std::vector<PeerRow>
 {
-    const auto limit = believedFor(now);
+    const auto limit = currentAliveTimeout(now);
     std::vector<PeerRow> rows;
     for (const auto &[key, row] : peers_) {
         if (wasHeardWithin(row, limit, now))
@@ -153,7 +153,7 @@
     return std::max(counted, seeds_.size());
 }
 
-auto PeerTable::round(Instant now) const -> Duration
+auto PeerTable::roundDuration(Instant now) const -> Duration
 {
     std::size_t others = 0;
     for (const auto &[key, row] : peers_) {
@@ -164,9 +164,9 @@
     return digestInterval_ * static_cast<Duration::rep>(digests);
 }
 
-auto PeerTable::believedFor(Instant now) const -> Duration
+auto PeerTable::currentAliveTimeout(Instant now) const -> Duration
 {
-    return std::max(aliveFor, maxMissedRounds * round(now));
+    return std::max(aliveTimeout, maxMissedRounds * roundDuration(now));
 }
 
 } // namespace applehatch::gateway
--- a/src/process/settings-feed.cc
+++ b/src/process/settings-feed.cc
@@ -47,7 +47,7 @@
 {
     reader_ = std::thread([this] { readLoop(); });
     ticks_ = std::make_unique<Periodic>(tickInterval, [this] { tick(); });
-    hostListPolls_ = std::make_unique<Periodic>([this] { return hostListSchedule_.wait(); },
+    hostListPolls_ = std::make_unique<Periodic>([this] { return hostListSchedule_.nextWait(); },
                                                 [this] { readHostList(); });
 }
 
@@ -85,7 +85,7 @@
 
 auto SettingsFeed::onIndexAdvertised(core::SettingsIndex index) -> void
 {
-    handle(core::SettingsIndexHeard{index});
+    handle(core::SettingsIndexAdvertised{index});
 }
 
 auto SettingsFeed::status() -> std::vector<core::SubtreeStatus>
@@ -192,7 +192,7 @@
 
 auto SettingsFeed::readHostList() -> void
 {
-    if (hostListSchedule_.wantsWhole())
+    if (hostListSchedule_.needsFullRead())
         hostList_.version = 0;
     if (hostListClient_.read(hostListTimeout, hostList_)) {
         hostListSchedule_.failed();
--- a/src/router/router-callers.cc
+++ b/src/router/router-callers.cc
@@ -76,7 +76,7 @@
     }
     if (outcome != AnswerOutcome::Sent) {
         logCaller(request, outcome == AnswerOutcome::TooLarge ? "answer-too-large" : "left");
-        node_.handle(core::CallerGone{request});
+        node_.handle(core::CallerDisconnected{request});
     }
 }
 
--- a/src/router/router-host.cc
+++ b/src/router/router-host.cc
@@ -203,7 +203,7 @@
         [this](const core::HostList &list) { node_.handle(core::HostListRead{list}); },
         [this](core::UpstreamId upstream) {
             return node_.read(
-                [upstream](const core::RouterNode &node) { return node.uses(upstream); });
+                [upstream](const core::RouterNode &node) { return node.dependsOn(upstream); });
         },
     };
 }
--- a/src/router/router-host.h
+++ b/src/router/router-host.h
@@ -4,7 +4,7 @@
 #include "applehatch/admin/api.h"
 #include "applehatch/core/placement.h"
 #include "applehatch/core/router-node.h"
-#include "applehatch/process/address-book.h"
+#include "applehatch/process/address-table.h"
 #include "applehatch/process/admin-server.h"
 #include "applehatch/process/drain.h"
 #include "applehatch/process/http-server.h"
--- a/src/settings/parse.cc
+++ b/src/settings/parse.cc
@@ -33,8 +33,8 @@
         ObjectReader reader(value, childPath, report);
         Customer customer;
         customer.name = name;
-        reader.real("weight", weightRange, customer.weight);
-        reader.whole("inFlightLimit", Need::Optional, {0, maxInFlight}, customer.inFlightLimit);
+        reader.number("weight", weightRange, customer.weight);
+        reader.integer("inFlightLimit", Need::Optional, {0, maxInFlight}, customer.inFlightLimit);
         reader.refuseUnknown();
         parsed.emplace(name, customer);
     }
--- a/src/settings/pool-parser.cc
+++ b/src/settings/pool-parser.cc
@@ -185,10 +185,10 @@
 
     static auto readPolicy(ObjectReader &reader, Pool &pool) -> void
     {
-        reader.real("loadMultiple", loadMultipleRange, pool.loadMultiple);
-        reader.whole("queueLimit", Need::Optional, {0, maxQueueLimit}, pool.queueLimit);
+        reader.number("loadMultiple", loadMultipleRange, pool.loadMultiple);
+        reader.integer("queueLimit", Need::Optional, {0, maxQueueLimit}, pool.queueLimit);
         reader.milliseconds("queueWaitMs", {0, maxDeadlineMs}, pool.queueWait);
-        reader.milliseconds("homeWaitMs", {0, maxDeadlineMs}, pool.homeWait);
+        reader.milliseconds("homeWaitMs", {0, maxDeadlineMs}, pool.maxOwnerWait);
         readChoice(reader, "queueOrder", Need::Optional, queueOrders, pool.queueOrder);
         reader.milliseconds("defaultDeadlineMs", {1, maxDeadlineMs}, pool.defaultDeadline);
         reader.milliseconds("maxDeadlineMs", {1, maxDeadlineMs}, pool.maxDeadline);
@@ -196,9 +196,9 @@
             reader.refuse("defaultDeadlineMs", "at most maxDeadlineMs");
         }
         reader.milliseconds("resendWindowMs", {1, maxWindowMs}, pool.resendWindow);
-        reader.real("retryBudget", retryBudgetRange, pool.retryBudget);
+        reader.number("retryBudget", retryBudgetRange, pool.retryBudget);
         readChoice(reader, "fencing", Need::Optional, fencings, pool.fencing);
-        reader.whole("rolloutWidth", Need::Optional, {1, maxRolloutWidth}, pool.rolloutWidth);
+        reader.integer("rolloutWidth", Need::Optional, {1, maxRolloutWidth}, pool.rolloutWidth);
         reader.flag("preferOwnDataCenter", pool.preferOwnDataCenter);
     }
 
@@ -226,7 +226,7 @@
         Member member;
         reader.text("name", Need::Required, nameRule(), member.name);
         reader.text("dataCenter", Need::Required, nameRule(), member.dataCenter);
-        reader.whole("slots", Need::Optional, {1, maxSlots}, member.slots);
+        reader.integer("slots", Need::Optional, {1, maxSlots}, member.slots);
         readAddress(reader, "sidecar", tcpAddresses_, member.sidecar);
         readAddress(reader, "digest", udpAddresses_, member.digest);
         readAddress(reader, "upstream", tcpAddresses_, member.upstream);
--- a/src/settings/reader.cc
+++ b/src/settings/reader.cc
@@ -231,8 +231,8 @@
     into = found->get<std::string>();
 }
 
-auto ObjectReader::whole(const std::string &key, Need need, Range<std::uint32_t> range,
-                         std::uint32_t &into) -> void
+auto ObjectReader::integer(const std::string &key, Need need, Range<std::uint32_t> range,
+                           std::uint32_t &into) -> void
 {
     const auto expected = rangeText("a whole number", range);
     const auto *found = find(key, need, expected);
@@ -247,7 +247,7 @@
     into = found->get<std::uint32_t>();
 }
 
-auto ObjectReader::real(const std::string &key, Range<double> range, double &into) -> void
+auto ObjectReader::number(const std::string &key, Range<double> range, double &into) -> void
 {
     const auto expected = rangeText("a number", range);
     const auto *found = find(key, Need::Optional, expected);
@@ -267,7 +267,7 @@
 {
     auto count = static_cast<std::uint32_t>(
         std::chrono::duration_cast<std::chrono::milliseconds>(into).count());
-    whole(key, Need::Optional, range, count);
+    integer(key, Need::Optional, range, count);
     into = std::chrono::milliseconds(count);
 }
 
--- a/src/settings/reader.h
+++ b/src/settings/reader.h
@@ -91,9 +91,9 @@
     auto refuse(const std::string &key, const std::string &expected) -> void;
 
     auto text(const std::string &key, Need need, const TextRule &rule, std::string &into) -> void;
-    auto whole(const std::string &key, Need need, Range<std::uint32_t> range, std::uint32_t &into)
+    auto integer(const std::string &key, Need need, Range<std::uint32_t> range, std::uint32_t &into)
         -> void;
-    auto real(const std::string &key, Range<double> range, double &into) -> void;
+    auto number(const std::string &key, Range<double> range, double &into) -> void;
     auto milliseconds(const std::string &key, Range<std::uint32_t> range, Duration &into) -> void;
     auto flag(const std::string &key, bool &into) -> void;
     auto address(const std::string &key, Need need, std::uint16_t minPort, Address &into) -> void;
--- a/src/sidecar/sidecar-host.h
+++ b/src/sidecar/sidecar-host.h
@@ -4,7 +4,7 @@
 #include "applehatch/admin/api.h"
 #include "applehatch/clients/upstream-client.h"
 #include "applehatch/core/sidecar-node.h"
-#include "applehatch/process/address-book.h"
+#include "applehatch/process/address-table.h"
 #include "applehatch/process/admin-server.h"
 #include "applehatch/process/drain.h"
 #include "applehatch/process/node-runner.h"
--- a/src/wire/connection.cc
+++ b/src/wire/connection.cc
@@ -189,7 +189,7 @@
     }
     // When a peer stops reading while its kernel still accepts bytes, this queue would otherwise
     // grow until the process is killed. The peer's requests continue over another link.
-    if (queuedBytes_ > limits_.queuedBytes)
+    if (queuedBytes_ > limits_.maxQueuedBytes)
         breakOff();
 }
 
@@ -290,7 +290,7 @@
 auto Connection::responded() -> void
 {
     const auto now = std::chrono::steady_clock::now();
-    const auto isSoon = respondedAt_ && now - *respondedAt_ < limits_.respondedPeriod;
+    const auto isSoon = respondedAt_ && now - *respondedAt_ < limits_.minRespondedInterval;
     if (isSoon || broken_)
         return;
     respondedAt_ = now;
--- a/src/wire/message-size.cc
+++ b/src/wire/message-size.cc
@@ -53,7 +53,7 @@
     auto operator()(const core::SettingsPull &from) const -> std::size_t
     {
         auto bytes = fixedBytes;
-        for (const auto &held : from.held)
+        for (const auto &held : from.knownIndices)
             bytes += headerBytes + held.first.size();
         return bytes;
     }
--- a/src/wire/schema-read.cc
+++ b/src/wire/schema-read.cc
@@ -190,7 +190,7 @@
 {
     core::SettingsPull pull;
     for (const auto entry : from.getHeld())
-        pull.held.emplace(text(entry.getTeam()), entry.getIndex());
+        pull.knownIndices.emplace(text(entry.getTeam()), entry.getIndex());
     pull.brief = from.getBrief();
     pull.since = from.getSince();
     pull.hash = from.getHash();
--- a/src/wire/schema-write.cc
+++ b/src/wire/schema-write.cc
@@ -58,8 +58,8 @@
 auto write(const core::CrashNotice &from, schema::CrashNotice::Builder to) -> void
 {
     to.setFingerprint(from.fingerprint);
-    to.setUpstream(from.life.upstream);
-    to.setIncarnation(from.life.incarnation);
+    to.setUpstream(from.origin.upstream);
+    to.setIncarnation(from.origin.incarnation);
     to.setSequence(from.sequence);
     to.setRemainingMs(wholeMilliseconds(from.remaining));
 }
@@ -228,9 +228,9 @@
     auto operator()(const core::SettingsPull &from) -> void
     {
         auto pull = to.initSettingsPull();
-        auto held = pull.initHeld(from.held.size());
+        auto held = pull.initHeld(from.knownIndices.size());
         unsigned position = 0;
-        for (const auto &[team, index] : from.held) {
+        for (const auto &[team, index] : from.knownIndices) {
             auto entry = held[position++];
             entry.setTeam(text(team));
             entry.setIndex(index);
--- a/test/core/host-list-pace-test.cc
+++ b/test/core/host-list-schedule-test.cc
@@ -1,4 +1,4 @@
-#include "applehatch/core/host-list-pace.h"
+#include "applehatch/core/host-list-schedule.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -28,7 +28,7 @@
             known_.push_back(0);
             knownAt_.emplace_back();
             const auto started = Duration(random_() % Duration(1s).count());
-            scheduleCall(process, Instant() + started + schedules_.back().wait());
+            scheduleCall(process, Instant() + started + schedules_.back().nextWait());
         }
     }
 
@@ -104,7 +104,8 @@
         const auto isLost = std::uniform_real_distribution<double>(0, 1)(random_) < loss_;
         if (isUnavailable_ || isLost) {
             schedule.failed();
-            scheduleCall(process, now_ + (isLost ? callTimeout : oneWayDelay) + schedule.wait());
+            scheduleCall(process,
+                         now_ + (isLost ? callTimeout : oneWayDelay) + schedule.nextWait());
             return;
         }
         schedule.succeeded();
@@ -113,14 +114,14 @@
             known_[process] = version_;
             knownAt_[process] = answeredAt;
         }
-        scheduleCall(process, answeredAt + schedule.wait());
+        scheduleCall(process, answeredAt + schedule.nextWait());
     }
 
     double loss_;
     Random random_;
     Instant now_;
     std::priority_queue<Call> calls_;
-    std::vector<HostListPace> schedules_;
+    std::vector<HostListSchedule> schedules_;
     std::vector<std::uint64_t> known_;
     std::vector<Instant> knownAt_;
     std::vector<Instant> callTimes_;
@@ -199,7 +200,7 @@
     fleet.runFor(55s);
     BOOST_TEST(fleet.delays().empty());
     fleet.setUnavailable(false);
-    fleet.runFor(HostListPace::longestWait + 2 * oneWayDelay);
+    fleet.runFor(HostListSchedule::maxWait + 2 * oneWayDelay);
     BOOST_REQUIRE(!fleet.delays().empty());
     BOOST_TEST_MESSAGE("host list back after 60 s: known after "
                        << toSeconds(fleet.delays().back() - 55s) << " s by all, "
@@ -225,11 +226,11 @@
 // "unchanged" until the next change, and work would go to hosts that left long ago.
 BOOST_AUTO_TEST_CASE(a_full_read_follows_within_ten_minutes)
 {
-    HostListPace schedule(5);
+    HostListSchedule schedule(5);
     auto sinceFullRead = Duration(0);
     for (auto read = 0; read < 2000; ++read) {
-        sinceFullRead += schedule.wait();
-        if (schedule.wantsWhole())
+        sinceFullRead += schedule.nextWait();
+        if (schedule.needsFullRead())
             sinceFullRead = Duration(0);
         BOOST_REQUIRE((sinceFullRead < 600s));
         schedule.succeeded();
--- a/test/core/load-plane-test.cc
+++ b/test/core/load-plane-test.cc
@@ -278,7 +278,7 @@
 BOOST_AUTO_TEST_CASE(a_digest_goes_to_another_member_every_second)
 {
     Sidecar sidecar(poolOf(3, 4));
-    sidecar.passAlive(30s);
+    sidecar.passWithHeartbeats(30s);
     const auto sent = sidecar.did<SendDigest>();
     BOOST_TEST(sent.size() == 30U);
     for (const auto &digest : sent)
--- a/test/core/placement-test.cc
+++ b/test/core/placement-test.cc
@@ -13,7 +13,7 @@
 
 auto withOwnerWait(Pool pool) -> Pool
 {
-    pool.homeWait = std::chrono::seconds(1);
+    pool.maxOwnerWait = std::chrono::seconds(1);
     return pool;
 }
 
@@ -85,7 +85,7 @@
     fleet.pool.members[0].slots = 24;
     std::map<UpstreamId, std::uint32_t> counts;
     for (std::uint64_t chat = 1; chat <= 20 * chats; ++chat)
-        ++counts[chatHome(fleet.pool, chat, "bole")];
+        ++counts[chatOwner(fleet.pool, chat, "bole")];
     const auto share = 20.0 * chats / (24 + 23 * 8);
     BOOST_TEST(counts[fleet.pool.members[0].id] > 24 * share * 0.9);
     BOOST_TEST(counts[fleet.pool.members[0].id] < 24 * share * 1.1);
@@ -98,7 +98,7 @@
     fleet.pool.preferOwnDataCenter = true;
     for (const ChatKey chat : {0, 1, 2, 3, 4, 5, 6, 7}) {
         const auto order = placeByContext(fleet.view(chat, fleet.ids()), fleet.random);
-        BOOST_TEST(order.size() == placementDepth);
+        BOOST_TEST(order.size() == maxPlacementCandidates);
         for (std::size_t i = 0; i < order.size(); ++i) {
             const auto row = std::find_if(fleet.pool.members.begin(), fleet.pool.members.end(),
                                           [&](const auto &each) { return each.id == order[i]; });
@@ -124,12 +124,12 @@
             const auto all = fleet.ids();
             for (const auto id : all)
                 fleet.load(id, 4);
-            const auto owner = viaToken ? all[5] : chatHome(fleet.pool, 9, "bole");
+            const auto owner = viaToken ? all[5] : chatOwner(fleet.pool, 9, "bole");
             fleet.load(owner, row.ownerLoad);
             const auto view = fleet.view(9, all, viaToken ? owner : 0);
             const auto order = placeByContext(view, fleet.random);
             BOOST_TEST((order.front() == owner) == row.stays);
-            BOOST_TEST(isClearlyOver(view, owner) == !row.stays);
+            BOOST_TEST(isWellOverBound(view, owner) == !row.stays);
             BOOST_TEST(std::set<UpstreamId>(order.begin(), order.end()).size() == order.size());
         }
     }
--- a/test/core/router-answers-test.cc
+++ b/test/core/router-answers-test.cc
@@ -278,7 +278,7 @@
     Bench bench;
     bench.feed(chatRequest("r1"));
     const auto upstream = bench.openRequestedLink();
-    bench.feed(CallerGone{"r1"});
+    bench.feed(CallerDisconnected{"r1"});
     BOOST_TEST(Bench::sent<Revoke>(bench.last).at(0).attempt == 1U);
     BOOST_TEST(bench.node.counts().inFlight == 0U);
     BOOST_TEST(bench.from(upstream, Chunk{"r1", 0, "late"}).empty());
--- a/test/core/router-fleet.h
+++ b/test/core/router-fleet.h
@@ -197,7 +197,7 @@
         for (auto &[id, caller] : callers_) {
             if (caller.stream && !caller.done && !caller.reconnectAt && !caller.position.empty()
                 && chance(2)) {
-                toRouter(caller.router, CallerGone{caller.exchange});
+                toRouter(caller.router, CallerDisconnected{caller.exchange});
                 caller.reconnectAt = now_ + Duration(random_() % 3000000);
             }
         }
--- a/test/core/router-once-test.cc
+++ b/test/core/router-once-test.cc
@@ -209,7 +209,7 @@
         bench.feed(withTicket(id, ticket));
         const auto submits = Bench::sent<Submit>(bench.last);
         BOOST_REQUIRE(submits.size() == 1U);
-        BOOST_TEST(submits[0].target == ticket.life.incarnation);
+        BOOST_TEST(submits[0].target == ticket.target.incarnation);
         BOOST_TEST(submits[0].terms.runOnce);
         keys.insert(submits[0].terms.idempotencyKey);
     }
@@ -231,12 +231,12 @@
     };
     const std::vector<Row> rows = {
         {[](Bench &b, Ticket &t) {
-             b.feed(LinkDown{t.life.upstream});
-             b.feed(LinkUp{t.life.upstream, firstIncarnation + 1, Instant{}});
+             b.feed(LinkDown{t.target.upstream});
+             b.feed(LinkUp{t.target.upstream, firstIncarnation + 1, Instant{}});
          },
          ErrorKind::OutcomeUnknown},
         {[](Bench &b, Ticket & /*t*/) { b.now += 600s; }, ErrorKind::TicketExpired},
-        {[](Bench & /*b*/, Ticket &t) { t.life.upstream = 99; }, ErrorKind::OutcomeUnknown},
+        {[](Bench & /*b*/, Ticket &t) { t.target.upstream = 99; }, ErrorKind::OutcomeUnknown},
         {[](Bench & /*b*/, Ticket &t) { t.pool = "ledger/drafting"; }, ErrorKind::BadRequest},
     };
     for (const auto &row : rows) {
--- a/test/core/router-refusals-test.cc
+++ b/test/core/router-refusals-test.cc
@@ -238,7 +238,7 @@
     bench.openAllLinks();
     for (auto i = 0; i < 100; ++i) {
         bench.feed(chatRequest("earlier" + std::to_string(i)));
-        bench.feed(CallerGone{"earlier" + std::to_string(i)});
+        bench.feed(CallerDisconnected{"earlier" + std::to_string(i)});
     }
     bench.all.clear();
     bench.feed(chatRequest("r1"));
--- a/test/core/router-resume-test.cc
+++ b/test/core/router-resume-test.cc
@@ -86,12 +86,12 @@
         Bench bench;
         const auto upstream = beginStream(bench);
         if (disconnectedFirst)
-            BOOST_TEST(bench.feed(CallerGone{"r1"}).empty());
+            BOOST_TEST(bench.feed(CallerDisconnected{"r1"}).empty());
         bench.feed(resumeAt("x1", {upstream, "r1", 9}));
         BOOST_TEST(Bench::sent<Revoke>(bench.last).empty());
         BOOST_TEST(Bench::sent<Resume>(bench.last).size() == 1U);
         BOOST_TEST(bench.failures().size() == (disconnectedFirst ? 0U : 1U));
-        bench.feed(CallerGone{"r1"});
+        bench.feed(CallerDisconnected{"r1"});
         bench.from(upstream, streamHead("r1"));
         bench.from(upstream, Chunk{"r1", 9, "data: 2\n\n"});
         BOOST_TEST(bench.body("x1") == "data: 2\n\n");
@@ -108,7 +108,7 @@
     for (const auto stillSending : {false, true}) {
         Bench bench;
         const auto upstream = beginStream(bench);
-        bench.feed(CallerGone{"r1"});
+        bench.feed(CallerDisconnected{"r1"});
         BOOST_TEST(Bench::sent<Revoke>(bench.last).empty());
         for (auto second = 0; second < 11; ++second) {
             if (stillSending)
--- a/test/core/settings-fleet.h
+++ b/test/core/settings-fleet.h
@@ -244,7 +244,7 @@
         }
     }
 
-    auto advertisementOf(std::size_t node) const -> SettingsIndexHeard
+    auto advertisementOf(std::size_t node) const -> SettingsIndexAdvertised
     {
         const auto from = options_.digestsNameSender ? idOf(node) : 0;
         return {nodes_[node].replica->current()->index, from};
--- a/test/core/settings-replica-test.cc
+++ b/test/core/settings-replica-test.cc
@@ -138,7 +138,7 @@
         {"peer with a newer removal", SettingsReply{90, {{"t", 61, nullptr}}}, 0},
         {"peer with a refused text", SettingsReply{90, {text("t", 80, bad)}}, 50},
         {"peer with part of its texts", SettingsReply{0, {text("t", 61, good(2))}}, 61},
-        {"an index that nobody has", SettingsIndexHeard{1000}, 50},
+        {"an index that nobody has", SettingsIndexAdvertised{1000}, 50},
         {"service down", SettingsReadFailed{}, 50},
         {"watch that ended without a change", SettingsRead{70, {}, true}, 50},
     };
@@ -353,8 +353,9 @@
             std::size_t pulls = 0;
             for (auto tick = 0; tick < 12000; ++tick) {
                 fixture.now += 50ms;
-                const auto event = tick % 2 == 0 ? SettingsEvent(SettingsIndexHeard{row.advertised})
-                                                 : SettingsEvent(SettingsTick{});
+                const auto event = tick % 2 == 0
+                    ? SettingsEvent(SettingsIndexAdvertised{row.advertised})
+                    : SettingsEvent(SettingsTick{});
                 for (const auto &action : fixture.give(event)) {
                     pulls += std::holds_alternative<PullFromPeer>(action) ? 1 : 0;
                     if (std::holds_alternative<ReadService>(action)) {
@@ -380,9 +381,9 @@
 {
     ReplicaFixture fixture;
     fixture.start({10, {text("t", 9, good(1))}});
-    fixture.give(SettingsIndexHeard{1000000});
+    fixture.give(SettingsIndexAdvertised{1000000});
     fixture.pass(30s);
-    fixture.give(SettingsIndexHeard{11, 77});
+    fixture.give(SettingsIndexAdvertised{11, 77});
     const auto actions = fixture.pass(1s);
     const auto asked = std::find_if(actions.begin(), actions.end(), [](const auto &action) {
         return std::holds_alternative<PullFromPeer>(action);
@@ -469,7 +470,7 @@
         for (const auto &action : fixture.pass(10s)) {
             if (const auto *asked = std::get_if<PullFromPeer>(&action)) {
                 BOOST_TEST(asked->pull.brief);
-                BOOST_TEST(asked->pull.held.empty());
+                BOOST_TEST(asked->pull.knownIndices.empty());
                 return asked->pull.hash;
             }
         }
--- a/test/core/sidecar-answers-test.cc
+++ b/test/core/sidecar-answers-test.cc
@@ -96,7 +96,7 @@
     Sidecar sidecar(poolOf(1, 1));
     (void)sidecar.run(sidecar.request("busy"));
     sidecar.from(Resume{"earlier", "ledger/c1", 100});
-    sidecar.passAlive(6s);
+    sidecar.passWithHeartbeats(6s);
     BOOST_REQUIRE(!sidecar.sent<Refusal>().empty());
     BOOST_TEST((sidecar.sent<Refusal>().back().failure.run == Run::Unknown));
 }
@@ -137,7 +137,7 @@
 BOOST_AUTO_TEST_CASE(answers_beyond_the_buffer_limit_are_stopped)
 {
     SidecarLimits limits;
-    limits.answerBytesEach = 10;
+    limits.unacknowledgedBytesPerAnswer = 10;
     Sidecar sidecar(modelPool(), limits);
     const auto run = sidecar.run(sidecar.request("r1"));
     sidecar.give(RunChunk{run, "12345678"}).from(Acknowledge{"r1", 8, false});
--- a/test/core/sidecar-crash-test.cc
+++ b/test/core/sidecar-crash-test.cc
@@ -160,7 +160,7 @@
         if (isPoison)
             sidecar.give(
                 withCrashes({{fingerprint, {pool.members[2].id, 5}, 1, std::chrono::minutes(10)}}));
-        sidecar.passAlive(600ms);
+        sidecar.passWithHeartbeats(600ms);
         BOOST_TEST(sidecar.did<StartRun>().size() == (isPoison ? 0U : 1U));
         if (isPoison)
             BOOST_TEST(outcomeOf(sidecar.refusal()) == "crash-suspect/not-run");
@@ -208,7 +208,7 @@
 BOOST_AUTO_TEST_CASE(finishing_clears_an_innocent)
 {
     const auto pool = poolOf(3, 4);
-    const UpstreamLife first{pool.members[1].id, 5};
+    const UpstreamIncarnation first{pool.members[1].id, 5};
     const auto fingerprint = fingerprintFor(pool, first.upstream, pool.members[0].id);
     const CrashNotice shared{fingerprint, first, 1, 60s};
     Sidecar sidecar(pool);
@@ -220,7 +220,7 @@
     auto again = sidecar.request("r2");
     again.terms.fingerprint = fingerprint;
     sidecar.run(again);
-    sidecar.passAlive(5s);
+    sidecar.passWithHeartbeats(5s);
     const auto digests = sidecar.did<SendDigest>();
     BOOST_REQUIRE(!digests.empty());
     const auto &notices = digests.back().digest.crashes;
--- a/test/core/sidecar-deadline-test.cc
+++ b/test/core/sidecar-deadline-test.cc
@@ -18,7 +18,7 @@
     auto submit = sidecar.request(id);
     submit.terms.priority = priority;
     const auto run = sidecar.run(std::move(submit));
-    sidecar.passAlive(time);
+    sidecar.passWithHeartbeats(time);
     sidecar.answer(run, "x");
 }
 
@@ -48,7 +48,7 @@
         sidecar.from(withPriority(sidecar.request("high-" + std::to_string(number)), 9));
         BOOST_TEST(sidecar.sent<Refusal>().empty());
     }
-    sidecar.passAlive(500ms);
+    sidecar.passWithHeartbeats(500ms);
     BOOST_TEST(sidecar.refusal().request == "low");
     BOOST_TEST(outcomeOf(sidecar.refusal()) == "deadline-unmeetable/not-run");
     BOOST_TEST(sidecar.refusal().failure.retryAfter.has_value());
--- a/test/core/sidecar-fixture.h
+++ b/test/core/sidecar-fixture.h
@@ -83,7 +83,7 @@
     }
 
     /// Advances time while the router sends its heartbeats.
-    auto passAlive(Duration time) -> Sidecar &
+    auto passWithHeartbeats(Duration time) -> Sidecar &
     {
         std::vector<SidecarAction> seen;
         for (const auto end = now + time; now < end;) {
--- a/test/core/sidecar-keys-test.cc
+++ b/test/core/sidecar-keys-test.cc
@@ -64,7 +64,7 @@
         } else if (row.when == "restarted") {
             sidecar.report("epoch-2");
         } else if (row.when == "deadline") {
-            sidecar.passAlive(60s);
+            sidecar.passWithHeartbeats(60s);
             BOOST_TEST(outcomeOf(sidecar.refusal()) == "deadline-exceeded/ran");
         } else if (row.when == "revoked") {
             sidecar.from(Revoke{"r1", 1, 7});
@@ -185,7 +185,7 @@
     BOOST_TEST(outcomeOf(sidecar.refusal()) == "overloaded/not-run");
     sidecar.from(sidecar.keyed("r4", "k1"));
     BOOST_TEST(sidecar.sent<End>().size() == 1U);
-    sidecar.passAlive(601s);
+    sidecar.passWithHeartbeats(601s);
     sidecar.run(sidecar.keyed("r5", "k5"));
 }
 
--- a/test/core/sidecar-life-test.cc
+++ b/test/core/sidecar-lifecycle-test.cc
@@ -187,11 +187,11 @@
 {
     Sidecar sidecar(poolOf(1, 1));
     sidecar.run(sidecar.request("other"));
-    sidecar.from(sidecar.request("r1", 2)).passAlive(6s);
+    sidecar.from(sidecar.request("r1", 2)).passWithHeartbeats(6s);
     const auto earlier = sidecar.request("r1", 1);
     sidecar.from(earlier);
     BOOST_TEST(outcomeOf(sidecar.refusal()) == "overloaded/not-run");
-    sidecar.from(Acknowledge{"r1", 0, true}).passAlive(54s);
+    sidecar.from(Acknowledge{"r1", 0, true}).passWithHeartbeats(54s);
     BOOST_TEST(sidecar.node().counts().running == 0U);
     sidecar.from(earlier);
     BOOST_TEST(outcomeOf(sidecar.refusal()) == "revoked/not-run");
--- a/test/core/sidecar-load-test.cc
+++ b/test/core/sidecar-load-test.cc
@@ -155,7 +155,7 @@
 {
     Sidecar sidecar(shortQueue(3, 4));
     sidecar.run(sidecar.request("r1"));
-    sidecar.passAlive(50s);
+    sidecar.passWithHeartbeats(50s);
     const auto sent = sidecar.did<SendDigest>();
     BOOST_TEST(sent.size() >= 20U);
     BOOST_TEST(sent.size() <= 50U);
@@ -182,7 +182,7 @@
                 sidecar.receiveLoad(at, 4);
             for (std::uint32_t router = 0; router < routers; ++router) {
                 sidecar.give(DigestReceived{question});
-                sidecar.passAlive(Duration(1s) / routers);
+                sidecar.passWithHeartbeats(Duration(1s) / routers);
             }
         }
         std::size_t bytes = 0;
--- a/test/core/sidecar-orders-test.cc
+++ b/test/core/sidecar-orders-test.cc
@@ -130,7 +130,7 @@
             list.hosts.push_back({"127.0.1.2", HostState::Live});
         sidecar.report("epoch-1", {"old"}).give(HostListRead{list});
         pool.models = {"old", "new"};
-        sidecar.give(SettingsInForce{settingsOf(pool, 2)}).passAlive(10s);
+        sidecar.give(SettingsInForce{settingsOf(pool, 2)}).passWithHeartbeats(10s);
         BOOST_TEST(sidecar.did<GiveOrder>().size() == (isListed ? 0U : 1U));
     }
 }
@@ -147,12 +147,12 @@
     sidecar.give(SettingsInForce{settingsOf(pool, 2)});
     sidecar.receiveLoad(1, 2, UpstreamState::Joining);
     for (int second = 0; second < 30; ++second) {
-        sidecar.receiveLoad(1, 2, UpstreamState::Joining).receiveLoad(2, 2).passAlive(1s);
+        sidecar.receiveLoad(1, 2, UpstreamState::Joining).receiveLoad(2, 2).passWithHeartbeats(1s);
         BOOST_TEST(sidecar.did<GiveOrder>().empty());
     }
     std::size_t waited = 0;
     while (sidecar.did<GiveOrder>().empty() && waited < 20) {
-        sidecar.receiveLoad(1, 2).receiveLoad(2, 2).passAlive(1s);
+        sidecar.receiveLoad(1, 2).receiveLoad(2, 2).passWithHeartbeats(1s);
         ++waited;
     }
     const auto step = 2U; // In digest intervals, for a pool of three.
@@ -164,10 +164,10 @@
     // An unload waits until it can interrupt no run.
     pool.models = {"new"};
     sidecar.give(SettingsInForce{settingsOf(pool, 3)});
-    sidecar.give(OrderAnswered{load.fence, true, ""}).passAlive(2s);
-    sidecar.report("epoch-1", {"old", "new"}, load.fence).passAlive(2s);
+    sidecar.give(OrderAnswered{load.fence, true, ""}).passWithHeartbeats(2s);
+    sidecar.report("epoch-1", {"old", "new"}, load.fence).passWithHeartbeats(2s);
     BOOST_TEST(sidecar.did<GiveOrder>().empty());
-    sidecar.answer(run, "done").passAlive(1s);
+    sidecar.answer(run, "done").passWithHeartbeats(1s);
     BOOST_TEST(sidecar.did<GiveOrder>().at(0).model == "old");
     BOOST_TEST((sidecar.did<GiveOrder>().at(0).kind == OrderKind::UnloadModel));
 }
--- a/test/core/sidecar-parts-test.cc
+++ b/test/core/sidecar-parts-test.cc
@@ -1,6 +1,6 @@
 #include "applehatch/core/answer-store.h"
 #include "applehatch/core/chat-pointers.h"
-#include "applehatch/core/crash-book.h"
+#include "applehatch/core/crash-tracker.h"
 #include "applehatch/core/gossip.h"
 #include "applehatch/core/order-plan.h"
 #include "applehatch/core/run-once-table.h"
@@ -78,7 +78,7 @@
 // is cleared, and late gossip must not make it a suspect again.
 BOOST_AUTO_TEST_CASE(crash_notices)
 {
-    CrashBook tracker(100);
+    CrashTracker tracker(100);
     const auto notice = [](Incarnation incarnation, std::uint32_t sequence) {
         return CrashNotice{5, {1, incarnation}, sequence, 10s};
     };
@@ -91,7 +91,7 @@
     tracker.clear(5, Instant{});
     BOOST_TEST(!tracker.apply(notice(1, 2), Instant{}));
     BOOST_TEST(tracker.crashes(5, Instant{}) == 0U);
-    CrashBook other(100);
+    CrashTracker other(100);
     other.apply(notice(1, 1), Instant{});
     for (const auto &gossiped : tracker.notices(10, Instant{}))
         other.apply(gossiped, Instant{});
@@ -128,9 +128,9 @@
         }
         const GossipView view{pool, pool.members[0].id, "dc", 3, 1000};
         PoolSums sums;
-        const CrashBook crashes(9);
-        DigestReader remoteRecipient;
-        remoteRecipient.isNear = false;
+        const CrashTracker crashes(9);
+        DigestRecipient remoteRecipient;
+        remoteRecipient.isSameDataCenter = false;
         const auto near = composeDigest(view, loads, sums, crashes, {}, Instant{});
         const auto far = composeDigest(view, loads, sums, crashes, remoteRecipient, Instant{});
         BOOST_TEST(near.entries.size() <= 20U);
--- a/test/core/sidecar-room-test.cc
+++ b/test/core/sidecar-waiting-test.cc
@@ -13,7 +13,7 @@
 
 auto withOwnerWait(Pool pool) -> Pool
 {
-    pool.homeWait = 1s;
+    pool.maxOwnerWait = 1s;
     return pool;
 }
 
--- a/test/core/token-test.cc
+++ b/test/core/token-test.cc
@@ -18,7 +18,7 @@
     BOOST_REQUIRE(parsedTicket.has_value());
     BOOST_TEST(parsedTicket->pool == "tai/jobs");
     BOOST_TEST(parsedTicket->nonce == 42U);
-    BOOST_TEST((parsedTicket->life == ticket.life));
+    BOOST_TEST((parsedTicket->target == ticket.target));
     BOOST_TEST((parsedTicket->expires == ticket.expires));
 
     const auto position = parsePosition(formatPosition({7, "r1.x", 4096}));
--- a/test/core/wait-queue-test.cc
+++ b/test/core/wait-queue-test.cc
@@ -56,8 +56,8 @@
     for (std::uint64_t id = 0; id < 40; ++id)
         queue.push(waiting(id, "surge", 1, 0, 1s), QueueOrder::EarliestDeadline);
     queue.push(waiting(100, "small", 1, 0, 9s), QueueOrder::EarliestDeadline);
-    BOOST_TEST(queue.ahead(waiting(101, "small", 1, 0, 10s)) <= 3.0);
-    BOOST_TEST(queue.ahead(waiting(101, "surge", 1, 0, 10s)) >= 40.0);
+    BOOST_TEST(queue.countAhead(waiting(101, "small", 1, 0, 10s)) <= 3.0);
+    BOOST_TEST(queue.countAhead(waiting(101, "surge", 1, 0, 10s)) >= 40.0);
     const auto order = drain(queue);
     const auto place = std::find(order.begin(), order.end(), 100U) - order.begin();
     BOOST_TEST(place <= 1);
--- a/test/direct/choice-test.cc
+++ b/test/direct/choice-test.cc
@@ -78,7 +78,7 @@
     constexpr std::size_t routers = 3;
     std::vector<Dispatcher> fleet;
     for (std::size_t i = 0; i < routers; ++i) {
-        fleet.emplace_back(Self{"here", i + 1}, RetryLimits{}, now);
+        fleet.emplace_back(DispatcherOptions{"here", i + 1}, RetryLimits{}, now);
         fleet.back().setConfiguration(poolConfiguration());
         fleet.back().setUpstreams(list);
     }
@@ -132,7 +132,7 @@
         }
         const auto router = random() % routers;
         const auto context = random() % 180;
-        Demand input;
+        RoutingInput input;
         input.prompt = {{context, 10000}, {random(), 1000}};
         auto &dispatcher = fleet[router];
         const auto permit = std::get<Permit>(dispatcher.admit("a", "/", std::nullopt));
--- a/test/direct/limits-test.cc
+++ b/test/direct/limits-test.cc
@@ -1,6 +1,6 @@
-#include "applehatch/direct/load-book.h"
+#include "applehatch/direct/crash-suspects.h"
+#include "applehatch/direct/load-tracker.h"
 #include "applehatch/direct/retry-budget.h"
-#include "applehatch/direct/suspects.h"
 #include "applehatch/direct/upstream-health.h"
 
 #include <boost/test/unit_test.hpp>
--- a/test/direct/memory-test.cc
+++ b/test/direct/memory-test.cc
@@ -104,7 +104,7 @@
     const auto list = engines();
     std::vector<Dispatcher> fleet;
     for (std::size_t i = 0; i < routers; ++i) {
-        fleet.emplace_back(Self{"here", i + 1}, RetryLimits{}, start);
+        fleet.emplace_back(DispatcherOptions{"here", i + 1}, RetryLimits{}, start);
         fleet.back().setConfiguration(configurationOf(memoryTokens));
         fleet.back().setUpstreams(list);
     }
@@ -141,7 +141,7 @@
         const auto router = random() % routers;
         const auto context = random() % tokensOf.size();
         const auto own = random();
-        Demand input;
+        RoutingInput input;
         input.prompt = {{context, tokensOf[context]}, {own, ownTokens}};
         const auto permit = std::get<Permit>(fleet[router].admit("a", "/", std::nullopt));
         const auto choice = std::get<Choice>(fleet[router].choose(permit, input, now));
--- a/test/direct/registry-readers-test.cc
+++ b/test/direct/registry-readers-test.cc
@@ -26,7 +26,7 @@
     {
         const auto reading = readers();
         for (std::size_t i = 0; i < routers_.size(); ++i) {
-            HeardRanks heard;
+            PeerRanks heard;
             for (std::uint64_t rank = 0; rank < routers_.size(); ++rank) {
                 if (rank != i && !down_[rank])
                     heard.alive.push_back(rank);
@@ -73,7 +73,7 @@
         Fleet fleet(routers);
         auto now = start;
         fleet.runFor(5s, now);
-        BOOST_TEST(fleet.readers().size() == std::min(routers, RegistryReaders::wanted));
+        BOOST_TEST(fleet.readers().size() == std::min(routers, RegistryReaders::targetReaders));
     }
 }
 
@@ -87,9 +87,9 @@
     for (const auto reader : fleet.readers())
         fleet.setDown(reader, true);
     fleet.step(now);
-    BOOST_TEST(fleet.readers().size() == RegistryReaders::wanted);
+    BOOST_TEST(fleet.readers().size() == RegistryReaders::targetReaders);
     fleet.runFor(5s, now);
-    BOOST_TEST(fleet.readers().size() == RegistryReaders::wanted);
+    BOOST_TEST(fleet.readers().size() == RegistryReaders::targetReaders);
 }
 
 // The registry refuses all routers but one, which has the highest rank. The refused routers are
@@ -98,7 +98,7 @@
 BOOST_AUTO_TEST_CASE(the_last_in_rank_reads_in_time)
 {
     RegistryReaders last(1000, start);
-    HeardRanks heard;
+    PeerRanks heard;
     for (std::uint64_t rank = 0; rank < 389; ++rank)
         heard.alive.push_back(rank);
     heard.reading = {0, 1, 2};
--- a/test/direct/registry-replica-test.cc
+++ b/test/direct/registry-replica-test.cc
@@ -75,7 +75,7 @@
     replica.noteLost();
     replica.noteRegained(start);
     replica.apply(RegistrySnapshot{12, {{"config", "c", 3}}}, start);
-    const auto delta = replica.newsSince(0);
+    const auto delta = replica.deltaSince(0);
     BOOST_TEST(delta.revision == 12);
     BOOST_TEST(delta.since == 0);
     BOOST_TEST(delta.changes.size() == 1);
@@ -88,10 +88,10 @@
     RegistryReplica reader;
     RegistryReplica follower;
     reader.apply(twoEntries(), start);
-    BOOST_TEST(follower.apply(reader.newsSince(follower.revision()), start));
+    BOOST_TEST(follower.apply(reader.deltaSince(follower.revision()), start));
     BOOST_TEST(follower.items().size() == 2);
     reader.apply({{{"upstream", "", 11}, true}, {{"other", "o", 12}, false}}, 12, start);
-    const auto delta = reader.newsSince(follower.revision());
+    const auto delta = reader.deltaSince(follower.revision());
     BOOST_TEST(delta.since == 10);
     BOOST_TEST(delta.changes.size() == 2);
     BOOST_TEST(follower.apply(delta, start));
@@ -112,7 +112,7 @@
     follower.apply(twoEntries(), start);
     follower.apply({{{"brief", "b", 11}, false}}, 11, start);
     reader.apply(RegistrySnapshot{20, {{"config", "c", 3}}}, start);
-    const auto delta = reader.newsSince(follower.revision());
+    const auto delta = reader.deltaSince(follower.revision());
     BOOST_TEST(delta.since == 0);
     BOOST_TEST(follower.apply(delta, start));
     BOOST_TEST(follower.items().size() == 1);
@@ -123,7 +123,7 @@
 {
     RegistryReplica follower;
     follower.apply(twoEntries(), start);
-    BOOST_TEST(!follower.apply(RegistryNews{15, 16, {{{"late", "l", 16}, false}}}, start));
+    BOOST_TEST(!follower.apply(RegistryDelta{15, 16, {{{"late", "l", 16}, false}}}, start));
     BOOST_TEST(follower.revision() == 10);
 }
 
--- a/test/direct/stream-pace-test.cc
+++ b/test/direct/stream-duration-estimator-test.cc
@@ -1,4 +1,4 @@
-#include "applehatch/direct/stream-pace.h"
+#include "applehatch/direct/stream-duration-estimator.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -17,7 +17,7 @@
 // token would be 3.5 s, so the stream would be accepted with 4.2 s left and cut off in the middle.
 BOOST_AUTO_TEST_CASE(a_stream_that_uses_all_of_its_tokens_is_not_cut)
 {
-    StreamPace pace;
+    StreamDurationEstimator pace;
     for (int i = 0; i < 200; ++i)
         pace.noteStream(300, i % 10 == 0 ? Duration(4500ms) : Duration(900ms));
     BOOST_TEST(!pace.endsWithin(300, 4200ms));
@@ -27,7 +27,7 @@
 // Engines that were overloaded are fast again. Streams must not be refused for minutes afterwards.
 BOOST_AUTO_TEST_CASE(a_slow_period_is_forgotten)
 {
-    StreamPace pace;
+    StreamDurationEstimator pace;
     pace.noteStream(300, 30s);
     for (int i = 0; i < 200; ++i)
         pace.noteStream(300, 1500ms);
@@ -38,7 +38,7 @@
 // says little.
 BOOST_AUTO_TEST_CASE(short_streams_do_not_count)
 {
-    StreamPace pace;
+    StreamDurationEstimator pace;
     for (int i = 0; i < 200; ++i)
         pace.noteStream(300, 1500ms);
     pace.noteStream(5, 1s);
--- a/test/gateway/gateway-fixture.h
+++ b/test/gateway/gateway-fixture.h
@@ -249,13 +249,13 @@
     vocabulary.lastEventId = "Last-Event-ID";
     vocabulary.keyScheme = "Bearer";
     vocabulary.routerOnly = {"Reserve", "Fetch-Context"};
-    vocabulary.kept = {"Request-Id", "Prompt-Parts"};
+    vocabulary.endToEnd = {"Request-Id", "Prompt-Parts"};
     vocabulary.readPrompt = [](std::string_view text) {
         return direct::Prompt{{core::stableHash(text), 100}, {1, 10}};
     };
     vocabulary.tokens = "Token-Counts";
     vocabulary.readLoad = [](std::string_view) { return std::nullopt; };
-    vocabulary.readMostTokens = [](std::string_view text) {
+    vocabulary.readMaxTokens = [](std::string_view text) {
         return static_cast<std::uint32_t>(std::stoul(std::string(text)));
     };
     return vocabulary;
@@ -276,7 +276,7 @@
         route.targets = {{"pool", 1}};
         route.timeout = 3s;
         route.objective = 400ms;
-        route.eventPause = 400ms;
+        route.maxEventGap = 400ms;
         route.attempts = attempts;
         route.resumable = prefix == "/resume/";
         configuration->add(std::move(route));
--- a/test/gateway/peer-fleet.h
+++ b/test/gateway/peer-fleet.h
@@ -43,7 +43,7 @@
         sequences_.resize(size);
         silent_.resize(size);
         PeerDigest greeting;
-        greeting.life = initialIncarnation;
+        greeting.incarnation = initialIncarnation;
         for (std::size_t i = 0; i < size; ++i) {
             nextTick_.push_back(fleetStart + randomDelay(tickInterval));
             nextDigest_.push_back(fleetStart + randomDelay(digestInterval));
@@ -73,13 +73,13 @@
     {
         auto digest = std::make_shared<PeerDigest>();
         digest->sender = routerAt(from);
-        digest->life = initialIncarnation;
+        digest->incarnation = initialIncarnation;
         digest->sequence = ++sequences_[from];
         digest->brief = kind != Send::Whole;
         hooks_.fill(from, *digest);
         auto &table = tables_[from];
         const auto targets = kind == Send::Whole ? table.nextTargets(now)
-            : kind == Send::Brief                ? table.nextTold(now)
+            : kind == Send::Brief                ? table.nextBriefTargets(now)
                                                  : table.targets(now);
         for (const auto &target : targets)
             post(target, digest);
--- a/test/gateway/peers-test.cc
+++ b/test/gateway/peers-test.cc
@@ -25,15 +25,15 @@
 {
     PeerDigest digest;
     digest.sender = router(number);
-    digest.life = 1;
+    digest.incarnation = 1;
     digest.sequence = sequence;
     digest.revision = 10;
     return digest;
 }
 
-auto manyRoutes() -> direct::RegistryNews
+auto manyRoutes() -> direct::RegistryDelta
 {
-    direct::RegistryNews news{7, 9, {}};
+    direct::RegistryDelta news{7, 9, {}};
     std::string routes;
     for (int i = 0; i < 1000; ++i)
         routes += R"({"name":"r-)" + std::to_string(i)
@@ -75,13 +75,13 @@
 BOOST_AUTO_TEST_CASE(bytes_that_are_no_message_are_rejected)
 {
     const auto digest = encodeDigest(digestOf(1));
-    const auto news = encodeNews(manyRoutes());
+    const auto news = encodeDelta(manyRoutes());
     for (const std::string &bytes :
          {std::string(), std::string("x"), std::string(500, '\xff'), digest.substr(0, 9)})
         BOOST_TEST(!decodeDigest(bytes).has_value());
     for (const std::string &bytes : {std::string(), std::string(500, '\xff'), news.substr(0, 60),
                                      std::string("\xff\xff\xff\xff\xff\xff\xff\x7f", 8)})
-        BOOST_TEST(!decodeNews(bytes).has_value());
+        BOOST_TEST(!decodeDelta(bytes).has_value());
 }
 
 // A configuration of 1,000 routes must reach every router within two seconds. Three routers send it
@@ -89,9 +89,9 @@
 BOOST_AUTO_TEST_CASE(news_are_a_tenth_of_their_text)
 {
     const auto news = manyRoutes();
-    const auto bytes = encodeNews(news);
+    const auto bytes = encodeDelta(news);
     BOOST_TEST(bytes.size() * 10 < news.changes.at(0).item.value.size());
-    const auto read = decodeNews(bytes);
+    const auto read = decodeDelta(bytes);
     BOOST_REQUIRE(read.has_value());
     BOOST_TEST(read->since == 7);
     BOOST_TEST(read->revision == 9);
@@ -107,9 +107,9 @@
     constexpr std::size_t packetBytes = 1400;
     const auto sized = [](std::size_t loads, std::size_t contexts) {
         auto digest = digestOf(1);
-        for (std::size_t i = 0; i < direct::RegistryReaders::wanted + 1; ++i)
+        for (std::size_t i = 0; i < direct::RegistryReaders::targetReaders + 1; ++i)
             digest.readers.push_back({router(i), 1000000, 1000, 300ms});
-        for (std::size_t i = 0; i < PeerTable::mostMembers; ++i)
+        for (std::size_t i = 0; i < PeerTable::maxMembersPerDigest; ++i)
             digest.members.push_back(router(i));
         for (std::uint64_t i = 0; i < loads; ++i)
             digest.loads.push_back({core::stableHash("load", i), 2});
@@ -119,7 +119,7 @@
         return encodeDigest(digest).size();
     };
     BOOST_TEST_MESSAGE("3 routers " << sized(15, 15) << " bytes, 30 " << sized(50, 24) << ", 390 "
-                                    << sized(36, direct::ContextMap::mostTold));
+                                    << sized(36, direct::ContextMap::maxReportedUses));
     BOOST_TEST(sized(50, 24) < packetBytes);
 }
 
@@ -132,7 +132,7 @@
     for (std::size_t i = 1; i < fleet; ++i)
         table.apply(digestOf(i), start);
     std::set<std::string> reached;
-    const auto digests = table.round(start) / period;
+    const auto digests = table.roundDuration(start) / period;
     for (int i = 0; i < digests; ++i) {
         const auto targets = table.nextTargets(start);
         BOOST_TEST(targets.size() <= PeerTable::fanout);
@@ -140,8 +140,8 @@
             reached.insert(target.ip);
     }
     BOOST_TEST(reached.size() == fleet - 1);
-    BOOST_TEST((table.believedFor(start) >= 3 * table.round(start)));
-    BOOST_TEST(table.nextMembers(start).size() <= PeerTable::mostMembers);
+    BOOST_TEST((table.currentAliveTimeout(start) >= 3 * table.roundDuration(start)));
+    BOOST_TEST(table.nextMembers(start).size() <= PeerTable::maxMembersPerDigest);
 }
 
 // Guards against a router that considers all its peers dead because it was stalled itself, and
@@ -160,7 +160,8 @@
         auto now = start + 100s;
         static_cast<void>(table.nextTargets(now));
         BOOST_TEST(table.alive(now).size() == fleet - 1);
-        for (const auto end = now + table.believedFor(now) + period; now < end; now += period)
+        for (const auto end = now + table.currentAliveTimeout(now) + period; now < end;
+             now += period)
             static_cast<void>(table.nextTargets(now));
         BOOST_TEST(table.alive(now).empty());
     }
@@ -172,21 +173,21 @@
 {
     PeerTable table(router(0), period, 1);
     auto digest = digestOf(1, 900);
-    digest.life = 5000;
+    digest.incarnation = 5000;
     digest.readers = {{router(1), 5900, 11, 0ms}};
     BOOST_TEST(table.apply(digest, start));
     auto next = digestOf(1, 1);
-    next.life = 2000;
+    next.incarnation = 2000;
     next.readers = {{router(1), 2001, 12, 0ms}};
     BOOST_TEST(!table.apply(next, start + 200ms)); // It may be a late digest of an earlier process.
-    const auto later = start + PeerTable::aliveFor + 1ms;
+    const auto later = start + PeerTable::aliveTimeout + 1ms;
     next.sequence = 2;
     BOOST_TEST(table.apply(next, later));
-    const auto muchLater = start + direct::ReaderBook::trustedFor + 1ms;
+    const auto muchLater = start + direct::ReaderTracker::statusLifetime + 1ms;
     next.sequence = 3;
     next.readers = {{router(1), 2002, 12, 0ms}};
     BOOST_TEST(table.apply(next, muchLater));
-    BOOST_TEST(table.readerBook().readers(muchLater).size() == 1);
+    BOOST_TEST(table.readerTracker().readers(muchLater).size() == 1);
 }
 
 // A router learns of a reader only through another peer. It must trust that report until it is too
@@ -197,17 +198,17 @@
     auto digest = digestOf(1);
     digest.readers = {{router(2), 5, 11, 300ms}};
     table.apply(digest, start);
-    BOOST_TEST(table.readerBook().readers(start).size() == 1);
-    BOOST_TEST(table.readerBook().readers(start).at(0).revision == 11);
-    const auto expiry = start + direct::ReaderBook::trustedFor - 300ms;
-    BOOST_TEST(table.readerBook().readers(expiry).size() == 1);
-    BOOST_TEST(table.readerBook().readers(expiry + 1ms).empty());
+    BOOST_TEST(table.readerTracker().readers(start).size() == 1);
+    BOOST_TEST(table.readerTracker().readers(start).at(0).revision == 11);
+    const auto expiry = start + direct::ReaderTracker::statusLifetime - 300ms;
+    BOOST_TEST(table.readerTracker().readers(expiry).size() == 1);
+    BOOST_TEST(table.readerTracker().readers(expiry + 1ms).empty());
     digest.sequence = 2;
     digest.readers = {{router(2), 6, 12, 0ms}};
     table.apply(digest, start + 1s);
-    BOOST_TEST(table.readerBook().readers(start + 1s).size() == 1);
+    BOOST_TEST(table.readerTracker().readers(start + 1s).size() == 1);
     table.apply(digestOf(2), start + 1s);
-    BOOST_TEST(table.readerBook().readers(start + 1s).empty());
+    BOOST_TEST(table.readerTracker().readers(start + 1s).empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/gateway/process-test.cc
+++ b/test/gateway/process-test.cc
@@ -72,14 +72,14 @@
     explicit ReadingFleet(asio::io_context &loop)
         : loop_(loop)
     {
-        constexpr auto size = direct::RegistryReaders::wanted + 1;
+        constexpr auto size = direct::RegistryReaders::targetReaders + 1;
         reads.resize(size, true);
         for (std::size_t i = 0; i < size; ++i) {
             std::vector<core::Address> seeds;
             if (i > 0)
                 seeds.push_back(gateways.front()->settings.peers);
             gateways.push_back(std::make_unique<Gateway>(loop, seeds));
-            gateways[i]->host.onReadingTurn([this, i](bool turn) { reads[i] = turn; });
+            gateways[i]->host.onReaderRoleChanged([this, i](bool turn) { reads[i] = turn; });
             gateways[i]->applyRegistry(testConfiguration(1), {});
         }
     }
@@ -366,7 +366,7 @@
     const RunningPeers peers(stalled.settings.peers);
     BOOST_REQUIRE(runUntil(loop, [&] { return knowsAllPeers(loop, stalled); }));
     for (int times = 0; times < 3; ++times) {
-        std::this_thread::sleep_for(2 * PeerTable::aliveFor);
+        std::this_thread::sleep_for(2 * PeerTable::aliveTimeout);
         runUntil(
             loop, [] { return false; }, 300ms);
     }
@@ -399,14 +399,14 @@
 {
     asio::io_context loop(1);
     ScriptedUpstream peer(loop, "peer", [](ScriptedConnection &connection, const std::string &) {
-        const auto nothing = encodeNews({});
+        const auto nothing = encodeDelta({});
         connection.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(nothing.size())
                         + "\r\n\r\n" + nothing);
     });
     Gateway gateway(loop);
     PeerDigest digest;
     digest.sender = peer.entry("").address;
-    digest.life = 1;
+    digest.incarnation = 1;
     digest.sequence = 1;
     digest.revision = 1000;
     asio::ip::udp::socket socket(loop, asio::ip::udp::v4());
--- a/test/gateway/reading-fleet-test.cc
+++ b/test/gateway/reading-fleet-test.cc
@@ -40,9 +40,9 @@
     /// Whether every router that does not read knows all readers.
     auto allKnowReaders() -> bool
     {
-        for (std::size_t i = direct::RegistryReaders::wanted; i < fleet.size(); ++i) {
-            const auto known = fleet.table(i).readerBook().readers(fleet.now).size();
-            if (known < direct::RegistryReaders::wanted)
+        for (std::size_t i = direct::RegistryReaders::targetReaders; i < fleet.size(); ++i) {
+            const auto known = fleet.table(i).readerTracker().readers(fleet.now).size();
+            if (known < direct::RegistryReaders::targetReaders)
                 return false;
         }
         return true;
@@ -51,8 +51,8 @@
     /// Whether any router that does not read still trusts a reader.
     auto anyTrustsReader() -> bool
     {
-        for (std::size_t i = direct::RegistryReaders::wanted; i < fleet.size(); ++i) {
-            if (!fleet.table(i).readerBook().readers(fleet.now).empty())
+        for (std::size_t i = direct::RegistryReaders::targetReaders; i < fleet.size(); ++i) {
+            if (!fleet.table(i).readerTracker().readers(fleet.now).empty())
                 return true;
         }
         return false;
@@ -63,13 +63,13 @@
 private:
     auto fill(std::size_t router, PeerDigest &digest) -> void
     {
-        auto &tracker = fleet.table(router).readerBook();
-        std::optional<direct::ReaderWord> own;
-        if (router < direct::RegistryReaders::wanted) {
-            tracker.beat(fleet.now);
-            own = tracker.ownWord(1, fleet.now);
+        auto &tracker = fleet.table(router).readerTracker();
+        std::optional<direct::ReaderStatus> own;
+        if (router < direct::RegistryReaders::targetReaders) {
+            tracker.noteAnswer(fleet.now);
+            own = tracker.ownStatus(1, fleet.now);
         }
-        digest.readers = tracker.told(own, fleet.now);
+        digest.readers = tracker.reportedStatuses(own, fleet.now);
     }
 };
 
@@ -88,7 +88,7 @@
         auto &fleet = routers.fleet;
         fleet.runFor(2s);
         BOOST_TEST(routers.anyTrustsReader());
-        for (std::size_t i = 0; i < direct::RegistryReaders::wanted; ++i)
+        for (std::size_t i = 0; i < direct::RegistryReaders::targetReaders; ++i)
             fleet.silence(i);
         const auto silencedAt = fleet.now;
         while (routers.anyTrustsReader() && fleet.now - silencedAt < 10s)
@@ -96,7 +96,7 @@
         const auto lasted =
             std::chrono::duration_cast<std::chrono::milliseconds>(fleet.now - silencedAt);
         BOOST_TEST_MESSAGE(size << " routers: believed for " << lasted.count() << " ms");
-        BOOST_TEST((lasted <= direct::ReaderBook::trustedFor + transit));
+        BOOST_TEST((lasted <= direct::ReaderTracker::statusLifetime + transit));
     }
 }
 
@@ -127,7 +127,7 @@
             RegistryFleet routers(size, 23, bound);
             routers.fleet.runFor(settlingTime);
             const auto readers = routers.readers();
-            BOOST_TEST(readers.size() == direct::RegistryReaders::wanted);
+            BOOST_TEST(readers.size() == direct::RegistryReaders::targetReaders);
             for (const auto reader : readers)
                 routers.cut(reader);
             routers.fleet.runFor(after);
@@ -189,7 +189,7 @@
         routers.fleet.runFor(idle);
         const auto calls = routers.calls - start;
         const auto watches =
-            direct::RegistryReaders::wanted * (idle / direct::ReaderBook::watchPeriod);
+            direct::RegistryReaders::targetReaders * (idle / direct::ReaderTracker::watchTimeout);
         BOOST_TEST_MESSAGE(size << " routers: " << start << " calls at the start, then " << calls
                                 << " for " << watches << " watches");
         BOOST_TEST(calls <= watches);
--- a/test/gateway/registry-fleet.h
+++ b/test/gateway/registry-fleet.h
@@ -22,7 +22,7 @@
                 {[this](std::size_t router, PeerDigest &digest) { fill(router, digest); },
                  [this](std::size_t router, const PeerDigest &digest) { received(router, digest); },
                  [this](std::size_t router) { tick(router); }})
-        , maxQuietTime_(direct::RegistryReaders::quietFor(changeBound))
+        , maxQuietTime_(direct::RegistryReaders::maxSilence(changeBound))
     {
         for (std::size_t i = 0; i < size; ++i) {
             routers_.emplace_back(direct::readerRank(routerAt(i)));
@@ -123,28 +123,28 @@
     static constexpr Duration firstWatchDelay = std::chrono::milliseconds(600);
     static constexpr Duration fetchTime = std::chrono::milliseconds(10);
 
-    auto ownReport(std::size_t router) -> std::optional<direct::ReaderWord>
+    auto ownReport(std::size_t router) -> std::optional<direct::ReaderStatus>
     {
         const auto &each = routers_[router];
         if (!each.readers.reads() || !each.reachable)
             return std::nullopt;
-        return fleet.table(router).readerBook().ownWord(each.revision, fleet.now);
+        return fleet.table(router).readerTracker().ownStatus(each.revision, fleet.now);
     }
 
     auto fill(std::size_t router, PeerDigest &digest) -> void
     {
         digest.revision = routers_[router].revision;
-        const auto &tracker = fleet.table(router).readerBook();
-        digest.readers = tracker.told(ownReport(router), fleet.now);
+        const auto &tracker = fleet.table(router).readerTracker();
+        digest.readers = tracker.reportedStatuses(ownReport(router), fleet.now);
     }
 
     auto tick(std::size_t router) -> void
     {
         auto &each = routers_[router];
-        auto &tracker = fleet.table(router).readerBook();
+        auto &tracker = fleet.table(router).readerTracker();
         if (!each.readers.reads())
-            tracker.setAsideWhenQuiet(maxQuietTime_, fleet.now);
-        direct::HeardRanks heard;
+            tracker.distrustWhenSilent(maxQuietTime_, fleet.now);
+        direct::PeerRanks heard;
         for (const auto &reader : tracker.readers(fleet.now))
             heard.reading.push_back(direct::readerRank(reader.router));
         for (const auto &peer : fleet.table(router).alive(fleet.now))
@@ -154,7 +154,7 @@
         if (reads && !didRead) {
             each.announcesNextAnswer = heard.reading.empty();
             if (!each.call && !each.nextCallAt)
-                call(router, direct::RegistryReaders::proofWait);
+                call(router, direct::RegistryReaders::firstWatchTimeout);
         }
         if (!reads && didRead)
             each.reachable = true;
@@ -185,7 +185,7 @@
         if (each.call && each.call->fails && *each.call->fails <= now) {
             each.call.reset();
             each.reachable = false;
-            each.nextCallAt = now + retryDelay + each.readers.delay();
+            each.nextCallAt = now + retryDelay + each.readers.takeoverDelay();
         } else if (each.call && !each.call->fails) {
             const auto changed = each.call->answer && *each.call->answer <= now;
             if (changed || each.call->until <= now)
@@ -195,7 +195,8 @@
             return;
         if (each.readers.reads())
             call(router,
-                 each.hasWatched ? fleet.table(router).readerBook().nextWatch(now) : Duration(0));
+                 each.hasWatched ? fleet.table(router).readerTracker().nextWatchTimeout(now)
+                                 : Duration(0));
         else
             each.nextCallAt.reset();
     }
@@ -208,7 +209,7 @@
         each.nextCallAt = fleet.now + (changed ? watchSpacing : Duration(0));
         if (!std::exchange(each.hasWatched, true))
             each.nextCallAt = fleet.now + firstWatchDelay;
-        fleet.table(router).readerBook().beat(fleet.now);
+        fleet.table(router).readerTracker().noteAnswer(fleet.now);
         each.revision = std::max(each.revision, revision_);
         const auto toAll = changed || std::exchange(each.announcesNextAnswer, false);
         fleet.send(router, toAll ? PeerFleet::Send::ToAll : PeerFleet::Send::Brief);
--- a/test/gateway/streams-test.cc
+++ b/test/gateway/streams-test.cc
@@ -116,7 +116,7 @@
     route.targets = {{"pool", 1}};
     route.timeout = 60s;
     route.objective = 1s;
-    route.eventPause = eventPause;
+    route.maxEventGap = eventPause;
     route.attempts = 2;
     route.resumable = true;
     configuration->add(std::move(route));
--- a/test/platform/decoder-test.cc
+++ b/test/platform/decoder-test.cc
@@ -1,6 +1,6 @@
 #include "directory-decoder.h"
+#include "platform-vocabulary.h"
 #include "settings.h"
-#include "words.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -39,7 +39,7 @@
              "config-ms": 4000},
   "platform": {"addr": "10.9.0.1:8223"}})";
 
-auto heldItem(const std::string &value, std::uint64_t revision) -> direct::HeldItem
+auto heldItem(const std::string &value, std::uint64_t revision) -> direct::ReplicaItem
 {
     return {value, revision, std::nullopt};
 }
@@ -59,7 +59,7 @@
     BOOST_TEST((route->kind == RouteKind::Stream));
     BOOST_TEST(route->resumable);
     BOOST_TEST((route->timeout == 15s));
-    BOOST_TEST((route->eventPause == 250ms));
+    BOOST_TEST((route->maxEventGap == 250ms));
     BOOST_TEST(route->targets.size() == 2);
     // A route of an unknown type gets the most restrictive kind: a request runs at most once.
     BOOST_TEST((configuration->findRoute("a.example", "/y/1")->kind == RouteKind::Unsafe));
@@ -87,7 +87,7 @@
         R"({"service":"pool","addr":"10.0.0.9:8080","zone":"east","slots":"64","state":"ready"})",
         R"({"service":"pool","addr":"10.0.0.9:8080","zone":"east","slots":64,"state":"ready","born":1.5})",
     };
-    std::map<std::string, direct::HeldItem> items;
+    std::map<std::string, direct::ReplicaItem> items;
     items["servers/good"] = heldItem(upstreamText, 1);
     for (std::size_t i = 0; i < unusable.size(); ++i)
         items["servers/bad-" + std::to_string(i)] = heldItem(unusable[i], 2);
@@ -118,7 +118,7 @@
 {
     auto leaving = upstreamText;
     leaving.replace(leaving.find("ready"), 5, "draining");
-    std::map<std::string, direct::HeldItem> items;
+    std::map<std::string, direct::ReplicaItem> items;
     items["servers/a"] = heldItem(leaving, 1);
     items["servers/b"] = {upstreamText, 2, direct::Instant(5s)};
     const auto decoded = DirectoryDecoder()(items);
@@ -130,7 +130,7 @@
 BOOST_AUTO_TEST_CASE(an_unreadable_configuration_keeps_the_last_one)
 {
     DirectoryDecoder decoder;
-    std::map<std::string, direct::HeldItem> items;
+    std::map<std::string, direct::ReplicaItem> items;
     items["op/config"] = heldItem(configurationText, 1);
     BOOST_TEST(decoder(items).configuration->version == 7);
     items["op/config"] = heldItem("{", 2);
@@ -148,7 +148,7 @@
     BOOST_TEST(settings->gateway.peers.port == 7000);
     BOOST_TEST(settings->gateway.seeds.size() == 2);
     BOOST_TEST(settings->gateway.retries.extra == 52);
-    BOOST_TEST((settings->gateway.changeWithin == 4s));
+    BOOST_TEST((settings->gateway.maxPropagationTime == 4s));
     BOOST_TEST(settings->registry.ip == "10.9.0.1");
 }
 
--- a/test/platform/registry-client-test.cc
+++ b/test/platform/registry-client-test.cc
@@ -1,6 +1,6 @@
 #include "directory-decoder.h"
+#include "platform-vocabulary.h"
 #include "registry-client.h"
-#include "words.h"
 
 #include "applehatch/core/base64.h"
 #include "applehatch/telemetry/logger.h"
--- a/test/process/address-book-test.cc
+++ b/test/process/address-table-test.cc
@@ -1,4 +1,4 @@
-#include "applehatch/process/address-book.h"
+#include "applehatch/process/address-table.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/test/wire/link-loop-test.cc
+++ b/test/wire/link-loop-test.cc
@@ -197,7 +197,7 @@
     blocking.onMessage = [&](LinkId, const core::Message &) { const std::lock_guard wait(pause); };
     LinkLoop server(blocking, {});
     LinkLimits limits;
-    limits.queuedBytes = 4U << 20U;
+    limits.maxQueuedBytes = 4U << 20U;
     LinkLoop client(near.hooks(), {}, limits);
     const auto link = client.open(listenOn(server));
     BOOST_REQUIRE(near.waitFor([&] { return !near.up.empty(); }));
@@ -292,7 +292,7 @@
     Recorder near;
     Recorder far;
     LinkLimits limits;
-    limits.respondedPeriod = core::Duration::zero();
+    limits.minRespondedInterval = core::Duration::zero();
     LinkLoop server(far.hooks(), {});
     LinkLoop client(near.hooks(), {}, limits);
     const auto link = client.open(listenOn(server));
@@ -323,7 +323,7 @@
     Recorder far;
     LinkLoop server(far.hooks(), {});
     LinkLimits limits;
-    limits.queuedBytes = 256U << 10U;
+    limits.maxQueuedBytes = 256U << 10U;
     LinkLoop client(near.hooks(), {}, limits);
     const auto link = client.open(listenOn(server));
     std::uint64_t offset = 0;
@@ -369,7 +369,7 @@
     Recorder far;
     LinkLoop server(far.hooksBlockedBy(pause), {});
     LinkLimits limits;
-    limits.respondedPeriod = core::Duration(0);
+    limits.minRespondedInterval = core::Duration(0);
     LinkLoop client(near.hooks(), {}, limits);
     const auto link = client.open(listenOn(server));
     BOOST_REQUIRE(near.waitFor([&] { return !near.up.empty(); }));
--- a/test/wire/message-generators.h
+++ b/test/wire/message-generators.h
@@ -90,7 +90,7 @@
     auto operator()(const core::SettingsPull &m) -> void
     {
         put(m.brief, m.since, m.hash);
-        for (const auto &[team, index] : m.held)
+        for (const auto &[team, index] : m.knownIndices)
             put(team, index);
     }
     auto operator()(const core::SettingsReply &m) -> void
