--- a/src/gateway/exchange-answer.cc
+++ b/src/gateway/exchange-answer.cc
@@ -110,8 +110,7 @@
     if (attempt_.notRun) {
         noteOutcome(Outcome::Refused);
         closeAttempt(true);
-        return retryOrAnswer(
-            {ErrorKind::Overloaded, Run::NotRun, "upstream refused the request", {}});
+        return retryOrAnswer({ErrorKind::Overloaded, Run::NotRun, "upstream refused", {}});
     }
     // A status that implies "not run" came without the upstream's "not run" header: an upstream
     // that violates the protocol must not make this router promise what it cannot know.
--- a/src/gateway/upstream-connection.cc
+++ b/src/gateway/upstream-connection.cc
@@ -147,7 +147,7 @@
     if (!busy_)
         return; // The pool detects that the connection is closed.
     if (error)
-        return failWith("connection failed: " + error.message());
+        return failWith("connection broke: " + error.message());
     const auto result = reader_->feedEnd();
     if (result == ReadState::Done && !isStaleAnswer_ && !informational_ && busy_) {
         keepAlive_ = false;
