--- a/test/core/stall-aware-clock-test.cc
+++ b/test/core/stall-aware-clock-test.cc
@@ -6,7 +6,7 @@
 
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_SUITE(stall_aware_clock)
+BOOST_AUTO_TEST_SUITE(listening_clock)
 
 BOOST_AUTO_TEST_CASE(it_advances_with_time_while_polls_are_frequent)
 {
