--- a/include/applehatch/gateway/peer-table.h
+++ b/include/applehatch/gateway/peer-table.h
@@ -24,7 +24,7 @@
     std::uint64_t revision = 0;
     bool leaving = false;
     Instant heardAt;
-    Instant listenedAt; ///< The same on `core::ListeningClock`, which stops during stalls.
+    Instant listenedAt; ///< The same on `core::StallAwareClock`, which stops during stalls.
 };
 
 /// Gossip membership table: discovers routers from seeds and from the digests of other routers.
@@ -85,7 +85,7 @@
     /// Routers heard within the current alive timeout.
     [[nodiscard]] auto alive(Instant now) const -> std::vector<PeerRow>;
     [[nodiscard]] auto readerTracker() -> direct::ReaderTracker & { return readerTracker_; }
-    [[nodiscard]] auto readerBook() const -> const direct::ReaderTracker &
+    [[nodiscard]] auto readerTracker() const -> const direct::ReaderTracker &
     {
         return readerTracker_;
     }
--- a/src/gateway/gateway-registry.cc
+++ b/src/gateway/gateway-registry.cc
@@ -67,7 +67,7 @@
 
 auto GatewayHost::nextWatchTimeout() const -> Duration
 {
-    return mesh_.table().readerBook().nextWatchTimeout(steadyNow());
+    return mesh_.table().readerTracker().nextWatchTimeout(steadyNow());
 }
 
 auto GatewayHost::registryRegained() -> void
@@ -204,7 +204,7 @@
 auto GatewayHost::sinceAnswerMs(Instant now) const -> std::int64_t
 {
     constexpr std::int64_t never = -1;
-    const auto since = mesh_.table().readerBook().timeSinceAnswer(now);
+    const auto since = mesh_.table().readerTracker().timeSinceAnswer(now);
     return since ? std::chrono::duration_cast<std::chrono::milliseconds>(*since).count() : never;
 }
 
--- a/src/gateway/peer-mesh.cc
+++ b/src/gateway/peer-mesh.cc
@@ -138,7 +138,7 @@
     std::uint64_t newest = 0;
     for (const auto &row : table_.alive(now))
         newest = std::max(newest, row.revision);
-    for (const auto &reader : table_.readerBook().readers(now))
+    for (const auto &reader : table_.readerTracker().readers(now))
         newest = std::max(newest, reader.revision);
     return newest;
 }
